--- a/arbiter/arbiter.go
+++ b/arbiter/arbiter.go
@@ -10,35 +10,35 @@
 // maxGrants bounds the grants that are remembered. Beyond it those that end next are dropped.
 const maxGrants = 50000
 
-// Try is one of a coordinator's tries at a job. It may come to the same daemon again, and what that
+// Attempt is one of a coordinator's tries at a job. It may come to the same daemon again, and what that
 // has said of one try says nothing of a later one.
-type Try struct {
+type Attempt struct {
 	Process member.Process
 	// Number grows with each try of the process.
 	Number uint64
 }
 
-// Question asks an arbiter for the right to start a job.
-type Question struct {
+// GrantRequest asks an arbiter for the right to start a job.
+type GrantRequest struct {
 	Job string
 	// From asks.
-	From Try
-	// Hold is for how long it may have the job under way.
-	Hold time.Duration
-	// Over is the last try of another coordinator of which nothing runs any more; the zero value for none.
-	Over Try
+	From Attempt
+	// GrantDuration is for how long it may have the job under way.
+	GrantDuration time.Duration
+	// NotRunning is the last try of another coordinator of which nothing runs any more; the zero value for none.
+	NotRunning Attempt
 }
 
 // Verdict is an arbiter's answer.
 type Verdict struct {
 	Granted bool
 	// Holder is the try that may have the job under way, where it is not granted.
-	Holder Try
+	Holder Attempt
 }
 
 type grant struct {
 	job    string
-	holder Try
+	holder Attempt
 	until  time.Duration
 }
 
@@ -52,12 +52,12 @@
 // New returns an arbiter that has granted nothing.
 func New() *Arbiter { return &Arbiter{grants: make(map[string]*grant)} }
 
-// Ask answers a question. A holder of which another one knows that nothing runs is displaced; it
+// HandleRequest answers a question. A holder of which another one knows that nothing runs is displaced; it
 // has to be told, as it may be there still, beyond the sight of the one that asks.
-func (a *Arbiter) Ask(now time.Duration, q Question) (v Verdict, displaced member.Process) {
+func (a *Arbiter) HandleRequest(now time.Duration, q GrantRequest) (v Verdict, displaced member.Process) {
 	g := a.grants[q.Job]
 	if g != nil && g.holder.Process != q.From.Process && now < g.until {
-		if g.holder.Process != q.Over.Process || g.holder.Number > q.Over.Number {
+		if g.holder.Process != q.NotRunning.Process || g.holder.Number > q.NotRunning.Number {
 			return Verdict{Holder: g.holder}, member.Process{}
 		}
 		displaced = g.holder.Process
@@ -68,7 +68,7 @@
 	for len(a.ends) >= maxGrants {
 		a.dropNext()
 	}
-	n := &grant{q.Job, q.From, now + q.Hold}
+	n := &grant{q.Job, q.From, now + q.GrantDuration}
 	a.grants[q.Job] = n
 	heap.Push(&a.ends, n)
 	return Verdict{Granted: true}, displaced
@@ -81,21 +81,21 @@
 }
 
 // Release takes a coordinator's word that nothing of a try, and of those before, runs any more.
-func (a *Arbiter) Release(job string, t Try) {
+func (a *Arbiter) Release(job string, t Attempt) {
 	if g := a.grants[job]; g != nil && g.holder.Process == t.Process && g.holder.Number <= t.Number {
 		delete(a.grants, job)
 	}
 }
 
-// Sweep forgets what is over.
-func (a *Arbiter) Sweep(now time.Duration) {
+// RemoveExpired forgets what is over.
+func (a *Arbiter) RemoveExpired(now time.Duration) {
 	for len(a.ends) > 0 && now >= a.ends[0].until {
 		a.dropNext()
 	}
 }
 
-// Grants returns the number of grants that are remembered.
-func (a *Arbiter) Grants() int { return len(a.grants) }
+// GrantCount returns the number of grants that are remembered.
+func (a *Arbiter) GrantCount() int { return len(a.grants) }
 
 // byEnd is a heap of grants by their ends.
 type byEnd []*grant
--- a/arbiter/client.go
+++ b/arbiter/client.go
@@ -46,9 +46,9 @@
 	return o
 }
 
-// Apply asks for the right to start a job, for a caller that waits until a time. A job that is
+// RequestStart asks for the right to start a job, for a caller that waits until a time. A job that is
 // still ending here is asked for when that is over.
-func (c *Client) Apply(now time.Duration, job string, until time.Duration) {
+func (c *Client) RequestStart(now time.Duration, job string, until time.Duration) {
 	if a := c.jobs[job]; a != nil && a.state == ending {
 		a.again, a.came, a.until = true, now, until
 		return
@@ -84,11 +84,11 @@
 
 func (c *Client) question(now time.Duration, a *application, p member.Process) {
 	a.replies[p] = pending
-	if !c.view.Sees(p) {
+	if !c.view.Reachable(p) {
 		a.replies[p] = unsure // it can't be asked before it is back
 		return
 	}
-	c.send(Message{To: p, Question: &Question{Job: a.job, From: Try{c.self, a.try}, Hold: a.until - now + holdMargin, Over: a.over}})
+	c.send(Message{To: p, Request: &GrantRequest{Job: a.job, From: Attempt{c.self, a.try}, GrantDuration: a.until - now + holdMargin, NotRunning: a.over}})
 }
 
 func (c *Client) send(m Message) { c.out.Messages = append(c.out.Messages, m) }
@@ -100,12 +100,12 @@
 	return list
 }
 
-// Answered takes an arbiter's verdict.
-func (c *Client) Answered(now time.Duration, from member.Process, job string, v Verdict) {
+// HandleVerdict takes an arbiter's verdict.
+func (c *Client) HandleVerdict(now time.Duration, from member.Process, job string, v Verdict) {
 	a := c.jobs[job]
 	if a == nil {
 		if v.Granted {
-			c.send(Message{To: from, Release: job, Try: c.tries}) // its callers have left meanwhile
+			c.send(Message{To: from, Release: job, Attempt: c.tries}) // its callers have left meanwhile
 		}
 		return
 	}
@@ -139,7 +139,7 @@
 		}
 	}
 	if grants == len(a.arbiters) || now >= a.askAt && grants > len(a.arbiters)/2 {
-		a.state, a.over = started, Try{}
+		a.state, a.over = started, Attempt{}
 		c.out.Start = append(c.out.Start, a.job)
 	}
 }
@@ -147,11 +147,11 @@
 // await waits for the holder that an arbiter has named. Those that wait here though they precede this
 // daemon, as it had started the job, are told that nothing of it runs here: they may be the holder.
 func (c *Client) await(now time.Duration, a *application, v Verdict) {
-	seen := c.view.Sees(v.Holder.Process)
+	seen := c.view.Reachable(v.Holder.Process)
 	if a.holder.Process != v.Holder.Process {
-		c.out.Held = append(c.out.Held, Holding{a.job, v.Holder.Process, seen})
+		c.out.HeldElsewhere = append(c.out.HeldElsewhere, HeldJob{a.job, v.Holder.Process, seen})
 	}
-	a.state, a.holder, a.over = waiting, v.Holder, Try{}
+	a.state, a.holder, a.over = waiting, v.Holder, Attempt{}
 	for _, p := range slices.Clone(a.inquirers) {
 		if !c.precedes(p) {
 			c.dropInquirer(a, p)
@@ -160,7 +160,7 @@
 	}
 	if !seen {
 		a.askAt = now + reaskPause // it may return its right meanwhile
-		c.out.Clear = append(c.out.Clear, v.Holder.Process)
+		c.out.QuiescenceChecks = append(c.out.QuiescenceChecks, v.Holder.Process)
 		return
 	}
 	c.inquire(a)
@@ -169,11 +169,11 @@
 // inquire asks the holder, which tells of itself then.
 func (c *Client) inquire(a *application) {
 	a.askAt = a.until
-	c.send(Message{To: a.holder.Process, Inquiry: a.job})
+	c.send(Message{To: a.holder.Process, Query: a.job})
 }
 
 func (c *Client) tellOver(a *application, to member.Process) {
-	c.send(Message{To: to, Over: a.job, Try: a.try})
+	c.send(Message{To: to, NotRunning: a.job, Attempt: a.try})
 }
 
 // precedes puts daemons in an order. Of those that have not started a job, one waits for another
@@ -185,21 +185,21 @@
 // yield leaves a job that has not started here to one that has inquired, and waits for that.
 func (c *Client) yield(a *application, to member.Process) {
 	if a.state == waiting && a.holder.Process != to {
-		c.send(Message{To: a.holder.Process, Leave: a.job})
+		c.send(Message{To: a.holder.Process, CancelQuery: a.job})
 	}
-	a.state, a.holder, a.over = waiting, Try{Process: to}, Try{}
+	a.state, a.holder, a.over = waiting, Attempt{Process: to}, Attempt{}
 	c.dropInquirer(a, to)
 	c.tellOver(a, to)
 	c.inquire(a)
 }
 
-// Inquired takes the question of a daemon that was told that this one has the job. It waits for
+// HandleQuery takes the question of a daemon that was told that this one has the job. It waits for
 // the job's answer then, or is told that nothing of it runs here.
-func (c *Client) Inquired(from member.Process, job string) {
+func (c *Client) HandleQuery(from member.Process, job string) {
 	a := c.jobs[job]
 	switch {
 	case a == nil:
-		c.send(Message{To: from, Over: job, Try: c.tries})
+		c.send(Message{To: from, NotRunning: job, Attempt: c.tries})
 	case (a.state == asking || a.state == waiting) && !c.precedes(from):
 		c.yield(a, from)
 	case !slices.Contains(a.inquirers, from):
@@ -207,8 +207,8 @@
 	}
 }
 
-// Left takes an inquiry back; false when there was none.
-func (c *Client) Left(from member.Process, job string) bool {
+// HandleCancelQuery takes an inquiry back; false when there was none.
+func (c *Client) HandleCancelQuery(from member.Process, job string) bool {
 	a := c.jobs[job]
 	return a != nil && c.dropInquirer(a, from)
 }
@@ -219,18 +219,18 @@
 	return len(a.inquirers) < before
 }
 
-// Over takes a holder's word that nothing of the job runs there, of a try or an earlier one.
-func (c *Client) Over(now time.Duration, from member.Process, job string, try uint64) {
+// HandleNotRunning takes a holder's word that nothing of the job runs there, of a try or an earlier one.
+func (c *Client) HandleNotRunning(now time.Duration, from member.Process, job string, try uint64) {
 	if a := c.jobs[job]; a != nil && a.state == waiting && a.holder.Process == from {
-		a.over = Try{from, try}
+		a.over = Attempt{from, try}
 		c.ask(now, a)
 	}
 }
 
-// Cleared tells that a holder is out of sight and no executor has anything of its jobs any more.
-func (c *Client) Cleared(now time.Duration, holder member.Process) {
+// HandleQuiescence tells that a holder is out of sight and no executor has anything of its jobs any more.
+func (c *Client) HandleQuiescence(now time.Duration, holder member.Process) {
 	for _, a := range c.sorted() {
-		if (a.state == waiting || a.state == asking) && a.holder.Process == holder && a.over != a.holder && !c.view.Sees(holder) {
+		if (a.state == waiting || a.state == asking) && a.holder.Process == holder && a.over != a.holder && !c.view.Reachable(holder) {
 			a.over = a.holder
 			c.ask(now, a)
 		}
@@ -243,15 +243,15 @@
 	return a != nil && a.state == waiting && a.holder.Process == p
 }
 
-// Wanted reports whether another daemon waits for the job's answer.
-func (c *Client) Wanted(job string) bool {
+// HasWaiters reports whether another daemon waits for the job's answer.
+func (c *Client) HasWaiters(job string) bool {
 	a := c.jobs[job]
 	return a != nil && len(a.inquirers) > 0
 }
 
-// Answer ends a job that has its answer, and returns who waits for it too. While something of it
-// may still run, Close is to follow.
-func (c *Client) Answer(job string, over bool) []member.Process {
+// Complete ends a job that has its answer, and returns who waits for it too. While something of it
+// may still run, ConfirmStopped is to follow.
+func (c *Client) Complete(job string, over bool) []member.Process {
 	a := c.jobs[job]
 	if a == nil {
 		return nil
@@ -265,7 +265,7 @@
 	return told
 }
 
-// Revoke takes a started job back that was granted to another. When Close has told that nothing of
+// Revoke takes a started job back that was granted to another. When ConfirmStopped has told that nothing of
 // it runs any more, it is asked for again.
 func (c *Client) Revoke(job string) {
 	if a := c.jobs[job]; a != nil && a.state == started {
@@ -274,20 +274,20 @@
 }
 
 // Abandon ends a job that this daemon doesn't run to its end. Something of it may still run,
-// until Close.
+// until ConfirmStopped.
 func (c *Client) Abandon(job string) {
 	a := c.jobs[job]
 	if a == nil {
 		return
 	}
 	if a.state == waiting {
-		c.send(Message{To: a.holder.Process, Leave: job})
+		c.send(Message{To: a.holder.Process, CancelQuery: job})
 	}
 	a.state, a.again = ending, false
 }
 
-// Close tells that nothing of the job runs here any more.
-func (c *Client) Close(now time.Duration, job string) {
+// ConfirmStopped tells that nothing of the job runs here any more.
+func (c *Client) ConfirmStopped(now time.Duration, job string) {
 	a := c.jobs[job]
 	if a == nil || a.state != ending {
 		return
@@ -296,7 +296,7 @@
 	if !a.again {
 		for _, p := range a.asked {
 			if a.replies[p] == granted {
-				c.send(Message{To: p, Release: job, Try: a.try})
+				c.send(Message{To: p, Release: job, Attempt: a.try})
 			}
 		}
 	}
@@ -308,11 +308,11 @@
 	}
 }
 
-// Lost tells that a daemon is out of sight.
-func (c *Client) Lost(now time.Duration, p member.Process) {
+// HandleUnreachable tells that a daemon is out of sight.
+func (c *Client) HandleUnreachable(now time.Duration, p member.Process) {
 	for _, a := range c.sorted() {
 		if c.dropInquirer(a, p) {
-			c.out.Left = append(c.out.Left, a.job)
+			c.out.WaiterUnreachable = append(c.out.WaiterUnreachable, a.job)
 		}
 		r, asked := a.replies[p]
 		switch {
@@ -328,10 +328,10 @@
 	}
 }
 
-// Found tells that a daemon is in sight, again or for the first time. It is asked what it wasn't, or
+// HandleReachable tells that a daemon is in sight, again or for the first time. It is asked what it wasn't, or
 // may have granted to another one meanwhile. One that takes an arbiter's place learns of the jobs
 // that are under way here, or it would grant them to others.
-func (c *Client) Found(now time.Duration, p member.Process) {
+func (c *Client) HandleReachable(now time.Duration, p member.Process) {
 	for _, a := range c.sorted() {
 		r, asked := a.replies[p]
 		switch {
--- a/arbiter/messages.go
+++ b/arbiter/messages.go
@@ -6,21 +6,21 @@
 	"github.com/lavendercleat/lavendercleat/member"
 )
 
-// Message is for another daemon, or this one: one of Question, Release, Inquiry, Leave and Over is set.
+// Message is for another daemon, or this one: one of Request, Release, Query, CancelQuery and NotRunning is set.
 type Message struct {
 	To member.Process
-	// Question is for an arbiter, which answers with a Verdict; Release tells it that nothing of
+	// Request is for an arbiter, which answers with a Verdict; Release tells it that nothing of
 	// the job runs for the sender any more, of this try or an earlier one.
-	Question *Question
-	Release  string
-	// Inquiry asks a job's holder for its answer, or for the word that nothing of it runs there;
-	// Leave takes that back.
-	Inquiry string
-	Leave   string
-	// Over answers an inquiry: nothing of the job runs at the sender, of this try or an earlier one.
-	Over string
-	// Try is the number of the sender's try, for Release and Over.
-	Try uint64
+	Request *GrantRequest
+	Release string
+	// Query asks a job's holder for its answer, or for the word that nothing of it runs there;
+	// CancelQuery takes that back.
+	Query       string
+	CancelQuery string
+	// NotRunning answers an inquiry: nothing of the job runs at the sender, of this try or an earlier one.
+	NotRunning string
+	// Attempt is the number of the sender's try, for Release and NotRunning.
+	Attempt uint64
 }
 
 // Output is what the user has to carry out.
@@ -32,28 +32,28 @@
 	Revoked []string
 	// Expired lists jobs whose callers don't wait any longer for the right to start them.
 	Expired []Expiry
-	// Left lists jobs that a daemon waited for here which is lost.
-	Left []string
-	// Held lists jobs that another daemon was found to have, for the log.
-	Held []Holding
-	// Clear lists holders that can't be asked: Cleared is to tell when no executor has anything of
+	// WaiterUnreachable lists jobs that a daemon waited for here which is lost.
+	WaiterUnreachable []string
+	// HeldElsewhere lists jobs that another daemon was found to have, for the log.
+	HeldElsewhere []HeldJob
+	// QuiescenceChecks lists holders that can't be asked: HandleQuiescence is to tell when no executor has anything of
 	// theirs any more.
-	Clear []member.Process
+	QuiescenceChecks []member.Process
 }
 
-// Expiry is the end of the wait for the right to start a job; Elsewhere, that another daemon may
+// Expiry is the end of the wait for the right to start a job; MayHaveRun, that another daemon may
 // have run it.
 type Expiry struct {
-	Job       string
-	Elsewhere bool
+	Job        string
+	MayHaveRun bool
 }
 
-// Holding tells that a job waits for another daemon.
-type Holding struct {
+// HeldJob tells that a job waits for another daemon.
+type HeldJob struct {
 	Job    string
 	Holder member.Process
-	// InSight: the holder can be asked.
-	InSight bool
+	// Reachable: the holder can be asked.
+	Reachable bool
 }
 
 // View is what the user sees of the fleet.
@@ -61,8 +61,8 @@
 	// Arbiters returns a job's first n arbiters among the daemons in sight, this one included, and
 	// those that have been out of sight for a moment only; none while it is to wait for links.
 	Arbiters(job string, n int) []member.Process
-	// Sees reports whether messages reach a daemon.
-	Sees(p member.Process) bool
+	// Reachable reports whether messages reach a daemon.
+	Reachable(p member.Process) bool
 }
 
 // state is what a client does about a job.
@@ -105,7 +105,7 @@
 	askAt time.Duration
 	// holder has the job, as was last heard. over is the last try of another of which nothing runs any
 	// more; it is told until the job is granted or another holder named.
-	holder, over Try
+	holder, over Attempt
 	// inquirers wait for the job's end here.
 	inquirers []member.Process
 	// again: it has come again while it was ending.
--- a/capacity/vector.go
+++ b/capacity/vector.go
@@ -31,8 +31,8 @@
 	return Vector{max(v.MilliCPU, w.MilliCPU), max(v.MemoryMB, w.MemoryMB), max(v.GPUs, w.GPUs)}
 }
 
-// Copies returns how often v fits into free; most bounds the result.
-func (v Vector) Copies(free Vector, most int) int {
+// FitCount returns how often v fits into free; most bounds the result.
+func (v Vector) FitCount(free Vector, most int) int {
 	n := int64(most)
 	for _, r := range [...][2]int64{{v.MilliCPU, free.MilliCPU}, {v.MemoryMB, free.MemoryMB}, {v.GPUs, free.GPUs}} {
 		switch {
--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -42,13 +42,13 @@
 func (c *Coordinator) judge(now time.Duration, j *job) judgement {
 	wait, ok := c.wait(now, j)
 	if !ok && c.rooms.allRetired(now, j.Service) && !c.assembling(now) {
-		return judgement{reason: ReasonRetired}
+		return judgement{reason: ReasonDomainsRetired}
 	}
 	if !ok {
 		return judgement{reason: ReasonNoWorkers}
 	}
 	if late := time.Duration(lastTask*float64(wait)) - c.slack(now, j); late > 0 {
-		return judgement{ReasonNoRoom, late}
+		return judgement{ReasonNoCapacity, late}
 	}
 	return judgement{}
 }
@@ -56,9 +56,9 @@
 // retryAfter is when the caller of a job that is refused may come back.
 func (c *Coordinator) retryAfter(now time.Duration, j *job, v judgement) time.Duration {
 	switch v.reason {
-	case ReasonRetired:
+	case ReasonDomainsRetired:
 		return retiredRetryAfter
-	case ReasonNoRoom:
+	case ReasonNoCapacity:
 		return c.comeBack(now, j, max(v.late, minRetryAfter))
 	default:
 		return minRetryAfter
@@ -73,20 +73,20 @@
 // is false when there is a task that no worker may run. The job's other tasks count as work
 // before it, unless the job is kept or wide.
 func (c *Coordinator) wait(now time.Duration, j *job) (worst time.Duration, ok bool) {
-	if !j.Kept && c.rooms.fit(now, j.firstTasks()) {
+	if !j.Durable && c.rooms.fit(now, j.firstTasks()) {
 		return 0, true // most jobs; the copy below is what costs
 	}
 	plan := &c.plan
 	c.rooms.copyTo(plan)
 	for _, t := range j.tasks {
-		if !j.ready(t.ID.Step) || !j.Kept && plan.take(now, &t.Task) != nil {
+		if !j.ready(t.ID.Step) || !j.Durable && plan.take(now, &t.Task) != nil {
 			continue
 		}
 		wait, copies := plan.wait(now, &t.Task)
 		if copies == 0 {
 			return 0, false
 		}
-		if !j.Kept && j.Steps[t.ID.Step].Count <= copies/wideShare {
+		if !j.Durable && j.Steps[t.ID.Step].Count <= copies/wideShare {
 			plan.queue(now, &t.Task).charge(now, &t.Task)
 		}
 		worst = max(worst, wait)
@@ -108,7 +108,7 @@
 func (c *Coordinator) comeBack(now time.Duration, j *job, least time.Duration) time.Duration {
 	var work int64
 	for _, s := range j.Steps {
-		work += int64(s.Count) * s.Demand.MilliCPU * s.Expected.Milliseconds() / 1000
+		work += int64(s.Count) * s.Demand.MilliCPU * s.ExpectedRunTime.Milliseconds() / 1000
 	}
 	p := c.pressure(j.Service, j.surplus)
 	p.returning = max(p.returning, now+least)
@@ -130,12 +130,12 @@
 // are judged by what is known.
 const assembledShare = 3
 
-// Expect tells how many workers executors are about to tell of, after a start; 0: all that
+// ExpectWorkers tells how many workers executors are about to tell of, after a start; 0: all that
 // there are have been told of. Until most are known, jobs without room are not refused but
 // parked for a moment: after a loss of power of all daemons workers are taken over one by
 // one, within some hundred milliseconds, and the first few would be all the room there is
 // for callers who come back all at once.
-func (c *Coordinator) Expect(workers int) { c.expected = workers }
+func (c *Coordinator) ExpectWorkers(workers int) { c.expected = workers }
 
 func (c *Coordinator) assembling(now time.Duration) bool {
 	return c.expected > 0 && 4*c.rooms.usable(now) < assembledShare*c.expected
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -44,17 +44,17 @@
 	Claims *executor.Claims
 	// Reclaim asks for tasks that still wait: each is reported as not run.
 	Reclaim []task.ID
-	// Relinquish takes tasks of kept jobs back, but ends are held until they are settled.
-	Relinquish []task.ID
+	// WithdrawDurable takes tasks of kept jobs back, but ends are held until they are settled.
+	WithdrawDurable []task.ID
 	// Reserve asks to be told of room for tasks that wait elsewhere; Unreserve takes that back.
 	Reserve   []task.Task
 	Unreserve []task.ID
-	// Settle lists ends that are stored.
-	Settle []task.RunRef
-	// Disregard lists ends that came too late: their tasks have been started again.
-	Disregard []task.RunRef
-	// Recall lists kept jobs of which tasks are out of sight.
-	Recall []string
+	// ConfirmStored lists ends that are stored.
+	ConfirmStored []task.RunRef
+	// Superseded lists ends that came too late: their tasks have been started again.
+	Superseded []task.RunRef
+	// Reconcile lists kept jobs of which tasks are out of sight.
+	Reconcile []string
 }
 
 // Output is what the embedder has to carry out. Messages to one executor have to arrive
@@ -63,10 +63,10 @@
 	Messages []Message
 	Answers  []Answer
 	Events   []executor.Event
-	// Changed lists kept jobs whose progress has to be stored.
-	Changed []string
-	// Over lists jobs that have ended here before, and of which surely nothing runs any more.
-	Over []string
+	// ProgressChanged lists kept jobs whose progress has to be stored.
+	ProgressChanged []string
+	// Stopped lists jobs that have ended here before, and of which surely nothing runs any more.
+	Stopped []string
 }
 
 // Coordinator brings jobs to their answers. It is not safe for concurrent use.
@@ -109,11 +109,11 @@
 	return o
 }
 
-// SetHolder takes what an executor tells of its workers.
-func (c *Coordinator) SetHolder(h Holder) { c.rooms.set(h) }
+// UpdateExecutor takes what an executor tells of its workers.
+func (c *Coordinator) UpdateExecutor(h ExecutorState) { c.rooms.set(h) }
 
-// Jobs returns the number of jobs without an answer.
-func (c *Coordinator) Jobs() int { return len(c.jobs) }
+// JobCount returns the number of jobs without an answer.
+func (c *Coordinator) JobCount() int { return len(c.jobs) }
 
 // Has reports whether the job is under way here.
 func (c *Coordinator) Has(id string) bool { return c.jobs[id] != nil }
@@ -122,7 +122,7 @@
 func (c *Coordinator) Submit(now time.Duration, j Job) {
 	n := newJob(now, j)
 	c.jobs[j.ID] = n
-	if j.Kept {
+	if j.Durable {
 		c.keep(now, n)
 		return
 	}
@@ -136,7 +136,7 @@
 // some hundred ms, and a refused caller doesn't come back.
 func (c *Coordinator) admit(now time.Duration, j *job) {
 	v := c.judge(now, j)
-	j.parked = now < j.parkedTo && (v.reason == ReasonNoWorkers || v.reason == ReasonNoRoom && c.assembling(now))
+	j.parked = now < j.parkedTo && (v.reason == ReasonNoWorkers || v.reason == ReasonNoCapacity && c.assembling(now))
 	switch {
 	case j.parked:
 	case v.reason != "":
@@ -160,33 +160,33 @@
 
 // offer places one task.
 func (c *Coordinator) offer(now time.Duration, j *job, t *jobTask) {
-	if j.Kept {
+	if j.Durable {
 		if c.held {
 			c.postpone(now, t)
 			return
 		}
 		t.StartBy = now + keptOfferTime
 	}
-	t.Surplus = j.surplus && !j.mayHaveRun // what has begun is finished, or the work is lost
+	t.OverShare = j.surplus && !j.mayHaveRun // what has begun is finished, or the work is lost
 	h, hasRoom := c.target(now, t)
 	switch {
-	case h == nil && j.Kept:
+	case h == nil && j.Durable:
 		c.postpone(now, t)
 		return
 	case h == nil:
 		c.giveUp(now, j, ReasonNoWorkers)
 		return
-	case t.offers >= maxOffers && !j.Kept:
-		c.giveUp(now, j, ReasonNoRoom)
+	case t.offers >= maxOffers && !j.Durable:
+		c.giveUp(now, j, ReasonNoCapacity)
 		return
 	}
 	t.waiting, t.reclaiming = !hasRoom, false
 	t.begun, t.unbegun = t.latest(), false
 	t.Run++
 	t.offers++
-	t.OnlyNow = hasRoom && t.offers <= maxRoomOffers && !j.Kept
+	t.NoWait = hasRoom && t.offers <= maxRoomOffers && !j.Durable
 	t.adopted = false
-	t.Tenures = h.tenures
+	t.MaxEpoch = h.tenures
 	t.state, t.holder, t.worker, t.token = offered, h.Process, "", 0
 	c.sendOffer(now, t, h, hasRoom)
 	if !hasRoom {
@@ -194,20 +194,20 @@
 	}
 }
 
-func (c *Coordinator) sendOffer(now time.Duration, t *jobTask, h *Holder, hasRoom bool) {
+func (c *Coordinator) sendOffer(now time.Duration, t *jobTask, h *ExecutorState, hasRoom bool) {
 	c.out.Events = append(c.out.Events, executor.Event{
-		Name: "task_offered", ID: t.ID, Run: t.Run, Detail: fmt.Sprintf("to=%s room=%t", h.Process.Address, hasRoom), Age: now - h.Heard,
+		Name: "task_offered", ID: t.ID, Run: t.Run, Detail: fmt.Sprintf("to=%s room=%t", h.Process.Address, hasRoom), Age: now - h.ReportedAt,
 	})
 	m := c.message(h.Process, func(m *Message) bool { return m.Offer != nil })
 	m.Offer = append(m.Offer, t.Task)
 }
 
-// Reported takes an executor's report.
-func (c *Coordinator) Reported(now time.Duration, from member.Process, r task.Report) {
+// HandleReport takes an executor's report.
+func (c *Coordinator) HandleReport(now time.Duration, from member.Process, r task.Report) {
 	if len(c.undecided) > 0 {
 		defer c.decide(now)
 	}
-	if r.Reason == executor.ReasonRoom {
+	if r.Reason == executor.ReasonReserved {
 		c.roomFound(from, r)
 		return
 	}
@@ -232,7 +232,7 @@
 		c.taskDone(now, j, t)
 	case task.Failed:
 		c.taskFailed(now, j, t, r)
-	case task.Gone:
+	case task.Terminated:
 		c.restart(now, j, t, r)
 	case task.NotRun:
 		c.notRun(now, j, t, r)
@@ -272,14 +272,14 @@
 func (c *Coordinator) restart(now time.Duration, j *job, t *jobTask, r task.Report) {
 	t.state, j.mayHaveRun = blocked, true
 	c.event("task_restarted", t, fmt.Sprintf("outcome=%s reason=%s failures=%d", r.Outcome, r.Reason, t.failures))
-	if now >= t.StartBy && !j.Kept {
+	if now >= t.StartBy && !j.Durable {
 		c.giveUp(now, j, ReasonTooLate)
 		return
 	}
 	if c.crashed(now, j, t, r) {
 		return
 	}
-	if r.Outcome == task.Gone && r.Worker != "" {
+	if r.Outcome == task.Terminated && r.Worker != "" {
 		t.Avoid = append(t.Avoid, r.Worker)
 	}
 	c.offer(now, j, t)
@@ -290,36 +290,36 @@
 // other. A kept job is tried on, as such ends don't count as its failures.
 func (c *Coordinator) crashed(now time.Duration, j *job, t *jobTask, r task.Report) bool {
 	switch r.Reason {
-	case executor.ReasonDied, executor.ReasonReborn, executor.ReasonRemoved:
+	case executor.ReasonWorkerDied, executor.ReasonWorkerRestarted, executor.ReasonWorkerRemoved:
 		t.crashes++
 	}
-	if j.Kept || t.crashes < max(j.Attempts, minCrashes) {
+	if j.Durable || t.crashes < max(j.Attempts, minCrashes) {
 		return false
 	}
-	c.giveUp(now, j, ReasonCrashes)
+	c.giveUp(now, j, ReasonWorkersCrashed)
 	return true
 }
 
 func (c *Coordinator) notRun(now time.Duration, j *job, t *jobTask, r task.Report) {
 	t.state, t.unbegun = blocked, true
-	if !j.Kept && (r.Reason == executor.ReasonNoRoom || now >= t.StartBy) {
-		c.giveUp(now, j, ReasonNoRoom)
+	if !j.Durable && (r.Reason == executor.ReasonNoCapacity || now >= t.StartBy) {
+		c.giveUp(now, j, ReasonNoCapacity)
 		return
 	}
 	if h := c.rooms.get(t.holder); h != nil {
 		switch r.Reason {
 		case executor.ReasonNoWorker:
 			h.close()
-		case executor.ReasonTaken:
+		case executor.ReasonCapacityTaken:
 			h.full(&t.Task)
-		case executor.ReasonTenure:
-			if h.tenures <= t.Tenures {
+		case executor.ReasonLaterEpoch:
+			if h.tenures <= t.MaxEpoch {
 				h.close() // it would give it back again, until its next word
 			}
 		}
 	}
 	c.event("task_offered_again", t, r.Reason)
-	if j.Kept && r.Reason != executor.ReasonNoRoom {
+	if j.Durable && r.Reason != executor.ReasonNoCapacity {
 		c.postpone(now, t) // the same executor would give it back at once
 		return
 	}
@@ -334,7 +334,7 @@
 func (c *Coordinator) lose(now time.Duration, t *jobTask) {
 	t.state = lost
 	t.lostBy = now + lostWait
-	if t.Kept {
+	if t.Durable {
 		t.lostBy = now + orphanWait
 	}
 }
@@ -353,7 +353,7 @@
 			c.admit(now, j)
 			continue
 		}
-		if j.Kept {
+		if j.Durable {
 			c.tickKept(now, j)
 			continue
 		}
@@ -363,7 +363,7 @@
 		}
 		for _, t := range j.tasks {
 			if !j.ended && t.state == lost && now >= t.lostBy {
-				c.giveUp(now, j, ReasonHolderLost)
+				c.giveUp(now, j, ReasonExecutorLost)
 			}
 		}
 	}
--- a/coordinator/ending.go
+++ b/coordinator/ending.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// Ending reports whether something may still run of a job that is over here. Its end is told by
-// Output.Over.
-func (c *Coordinator) Ending(id string) bool { return c.endings[id] != nil }
+// IsStopping reports whether something may still run of a job that is over here. Its end is told by
+// Output.Stopped.
+func (c *Coordinator) IsStopping(id string) bool { return c.endings[id] != nil }
 
 // endingReported takes an executor's word on a task that was taken back from it.
 func (c *Coordinator) endingReported(now time.Duration, from member.Process, r task.Report) {
@@ -60,13 +60,13 @@
 func (c *Coordinator) endIfOver(job string) {
 	if len(c.endings[job]) == 0 {
 		delete(c.endings, job)
-		c.out.Over = append(c.out.Over, job)
+		c.out.Stopped = append(c.out.Stopped, job)
 	}
 }
 
-// EndingAt reports whether an executor that was lost, and is back, may still run something of a
-// job that is over here. Until Cleared its word is waited for, and not the time.
-func (c *Coordinator) EndingAt(p member.Process) bool {
+// AwaitQuiescence reports whether an executor that was lost, and is back, may still run something of a
+// job that is over here. Until HandleQuiescence its word is waited for, and not the time.
+func (c *Coordinator) AwaitQuiescence(p member.Process) bool {
 	found := false
 	for _, e := range c.endings {
 		for id, t := range e {
@@ -79,9 +79,9 @@
 	return found
 }
 
-// Cleared takes the word of an executor that was lost, and is back, that nothing of what it ran
+// HandleQuiescence takes the word of an executor that was lost, and is back, that nothing of what it ran
 // for this coordinator before runs any more.
-func (c *Coordinator) Cleared(p member.Process) {
+func (c *Coordinator) HandleQuiescence(p member.Process) {
 	for job, e := range c.endings {
 		for id, t := range e {
 			if t.holder == p && t.overBy > 0 {
@@ -139,7 +139,7 @@
 	if j.ended {
 		return
 	}
-	if j.Kept {
+	if j.Durable {
 		c.relinquish(j)
 	} else {
 		c.withdraw(now, j)
@@ -169,7 +169,7 @@
 		if !ok {
 			at = len(c.out.Messages)
 			byHolder[t.holder] = at
-			c.out.Messages = append(c.out.Messages, Message{To: t.holder, Confirm: !j.Kept})
+			c.out.Messages = append(c.out.Messages, Message{To: t.holder, Confirm: !j.Durable})
 		}
 		c.out.Messages[at].Withdraw = append(c.out.Messages[at].Withdraw, t.ID)
 	}
@@ -178,7 +178,7 @@
 // noteEnding waits for the end of a task that is taken back. Where its executor is lost, or has
 // lost its worker, its word says nothing.
 func (c *Coordinator) noteEnding(now time.Duration, j *job, t *jobTask) {
-	if j.Kept {
+	if j.Durable {
 		return
 	}
 	if c.endings[j.ID] == nil {
--- a/coordinator/job.go
+++ b/coordinator/job.go
@@ -27,18 +27,18 @@
 	// Deadline is when the caller stops waiting, on the coordinator's clock; kept jobs
 	// have none.
 	Deadline time.Duration
-	// Kept jobs are stored: they have no deadline and are never given up.
-	Kept bool
+	// Durable jobs are stored: they have no deadline and are never given up.
+	Durable bool
 	// Progress is what was stored of a kept job by an earlier coordinator.
 	Progress []Progress
 }
 
 // Step is a number of equal tasks.
 type Step struct {
-	Count    int
-	Demand   capacity.Vector
-	Label    string
-	Expected time.Duration
+	Count           int
+	Demand          capacity.Vector
+	Label           string
+	ExpectedRunTime time.Duration
 	// After lists the steps, by place, that have to be done first.
 	After []int
 	// PerWorker is how many of the tasks may run on one worker; 0: any number.
@@ -74,18 +74,18 @@
 
 // Reasons.
 const (
-	ReasonNoWorkers Reason = "no_workers"
-	ReasonNoRoom    Reason = "no_room"
-	// ReasonShare: there is no room, and the job is beyond the share of its queue and callers.
-	ReasonShare Reason = "beyond_share"
-	// ReasonRetired: all failure domains that the service has workers in are retired.
-	ReasonRetired    Reason = "domains_retired"
-	ReasonDeadline   Reason = "deadline"
-	ReasonHolderLost Reason = "holder_lost"
-	ReasonTooLate    Reason = "too_late_to_restart"
-	// ReasonCrashes: workers went down with a task as often as it may fail.
-	ReasonCrashes  Reason = "workers_crashed"
-	ReasonStopping Reason = "stopping"
+	ReasonNoWorkers  Reason = "no_workers"
+	ReasonNoCapacity Reason = "no_room"
+	// ReasonOverShare: there is no room, and the job is beyond the share of its queue and callers.
+	ReasonOverShare Reason = "beyond_share"
+	// ReasonDomainsRetired: all failure domains that the service has workers in are retired.
+	ReasonDomainsRetired Reason = "domains_retired"
+	ReasonDeadline       Reason = "deadline"
+	ReasonExecutorLost   Reason = "holder_lost"
+	ReasonTooLate        Reason = "too_late_to_restart"
+	// ReasonWorkersCrashed: workers went down with a task as often as it may fail.
+	ReasonWorkersCrashed Reason = "workers_crashed"
+	ReasonStopping       Reason = "stopping"
 	// ReasonNoStore: the store can't take a job that has to be kept.
 	ReasonNoStore Reason = "no_store"
 	// ReasonNotGranted: the right to start the job didn't come in time.
@@ -187,8 +187,8 @@
 		for i := range step.Count {
 			n.tasks = append(n.tasks, &jobTask{Task: task.Task{
 				ID: task.ID{Job: j.ID, Step: uint32(s), Index: uint32(i)}, Service: j.Service, Queue: j.Queue, Label: step.Label,
-				Payload: j.Payload, Demand: step.Demand, Priority: j.Priority, Expected: step.Expected,
-				Due: n.due, StartBy: j.Deadline - step.Expected/2, Kept: j.Kept, PerWorker: step.PerWorker,
+				Payload: j.Payload, Demand: step.Demand, Priority: j.Priority, ExpectedRunTime: step.ExpectedRunTime,
+				Due: n.due, StartBy: j.Deadline - step.ExpectedRunTime/2, Durable: j.Durable, PerWorker: step.PerWorker,
 			}})
 		}
 	}
@@ -204,7 +204,7 @@
 		for _, a := range s.After {
 			ends[i] = max(ends[i], ends[a])
 		}
-		ends[i] += s.Expected
+		ends[i] += s.ExpectedRunTime
 		longest = max(longest, ends[i])
 	}
 	return longest
--- a/coordinator/kept.go
+++ b/coordinator/kept.go
@@ -11,7 +11,7 @@
 const (
 	// orphanWait is how long after this daemon has lost sight of a run, or has adopted its
 	// job, the run is surely over, if nobody has told of it: its executor notices within a
-	// second that its coordinator is silent, keeps the run for executor.OrphanWait in case
+	// second that its coordinator is silent, keeps the run for executor.OrphanTimeout in case
 	// it is claimed, and its lease ends within another second. An earlier owner that is
 	// only cut off finds out within titleAge of the node that its title is gone, and the
 	// lease of what it ran ends after that.
@@ -38,8 +38,8 @@
 	Done bool
 	// FailedRuns are the numbers of the runs that failed.
 	FailedRuns []uint32
-	// Run is the number of the last run.
-	Run uint32
+	// LastRun is the number of the last run.
+	LastRun uint32
 }
 
 // history is what has to be settled of a kept job.
@@ -59,9 +59,9 @@
 	version uint64
 }
 
-// Refusal decides whether a job that would be kept is better refused: with the time to
+// CheckAdmission decides whether a job that would be kept is better refused: with the time to
 // come back.
-func (c *Coordinator) Refusal(now time.Duration, j Job) (Reason, time.Duration) {
+func (c *Coordinator) CheckAdmission(now time.Duration, j Job) (Reason, time.Duration) {
 	n := newJob(now, j)
 	wait, ok := c.wait(now, n)
 	patience := keptPatience * (n.due - now)
@@ -69,7 +69,7 @@
 	case !ok && c.rooms.serves(j.Service):
 		return ReasonNoWorkers, minRetryAfter // there are workers, but none that may run it
 	case wait > patience:
-		return ReasonNoRoom, max(wait-patience, minRetryAfter)
+		return ReasonNoCapacity, max(wait-patience, minRetryAfter)
 	default:
 		return "", 0
 	}
@@ -81,7 +81,7 @@
 	c.histories[j.ID] = &history{}
 	for i, p := range j.Progress {
 		t := j.tasks[i]
-		t.failedRuns, t.failures, t.Run = p.FailedRuns, len(p.FailedRuns), p.Run
+		t.failedRuns, t.failures, t.Run = p.FailedRuns, len(p.FailedRuns), p.LastRun
 		if p.Done {
 			t.state = done
 			j.left[t.ID.Step]--
@@ -128,7 +128,7 @@
 			if t.adopted {
 				t.Run += inheritedRuns
 			}
-			c.restart(now, j, t, task.Report{ID: t.ID, Run: t.Run, Worker: t.worker, Outcome: task.Gone, Reason: "surely_over"})
+			c.restart(now, j, t, task.Report{ID: t.ID, Run: t.Run, Worker: t.worker, Outcome: task.Terminated, Reason: "surely_over"})
 		case t.state == lost:
 			missing = true
 		}
@@ -142,8 +142,8 @@
 // recall asks all executors about a job.
 func (c *Coordinator) recall(id string) {
 	for _, h := range c.rooms.holders {
-		m := c.message(h.Process, func(m *Message) bool { return m.Recall != nil })
-		m.Recall = append(m.Recall, id)
+		m := c.message(h.Process, func(m *Message) bool { return m.Reconcile != nil })
+		m.Reconcile = append(m.Reconcile, id)
 	}
 }
 
@@ -151,21 +151,21 @@
 func (c *Coordinator) changed(j *job) {
 	if h := c.histories[j.ID]; h != nil {
 		h.version++
-		c.out.Changed = append(c.out.Changed, j.ID)
+		c.out.ProgressChanged = append(c.out.ProgressChanged, j.ID)
 	}
 }
 
 // begun notes that a task of the job has started.
 func (c *Coordinator) begun(j *job) {
-	if j.Kept && !j.mayHaveRun {
+	if j.Durable && !j.mayHaveRun {
 		j.mayHaveRun = true
-		c.out.Changed = append(c.out.Changed, j.ID)
+		c.out.ProgressChanged = append(c.out.ProgressChanged, j.ID)
 	}
 }
 
 // note keeps in mind that an end is held back at its executor until it is stored.
 func (c *Coordinator) note(j *job, from member.Process, r task.Report) {
-	if !j.Kept || r.Outcome != task.Done && r.Outcome != task.Failed {
+	if !j.Durable || r.Outcome != task.Done && r.Outcome != task.Failed {
 		return
 	}
 	c.changed(j)
@@ -177,7 +177,7 @@
 // was known.
 func (c *Coordinator) reportedLate(now time.Duration, from member.Process, j *job, t *jobTask, r task.Report) {
 	switch {
-	case t == nil || !t.Kept:
+	case t == nil || !t.Durable:
 	case t.state == done && r.Outcome == task.Done && r.Run < t.latest():
 		c.disregard(from, r.ID, r.Run)
 	case t.state == done && r.Outcome == task.Done:
@@ -190,13 +190,13 @@
 // disregard tells an executor that a later run than one that was done may have begun since: the
 // earlier end may count for nothing, or the later run would be one of a task that was done.
 func (c *Coordinator) disregard(from member.Process, id task.ID, run uint32) {
-	c.out.Messages = append(c.out.Messages, Message{To: from, Disregard: []task.RunRef{{ID: id, Run: run}}})
+	c.out.Messages = append(c.out.Messages, Message{To: from, Superseded: []task.RunRef{{ID: id, Run: run}}})
 }
 
 // keptEnded takes an end that was listed for an earlier holder or coordinator.
 func (c *Coordinator) keptEnded(now time.Duration, from member.Process, t *jobTask, workerID string, r task.RunningTask) {
 	j := c.jobs[r.ID.Job]
-	report := task.Report{ID: r.ID, Run: r.Run, Worker: workerID, Outcome: task.Gone, Reason: "ended_out_of_sight"}
+	report := task.Report{ID: r.ID, Run: r.Run, Worker: workerID, Outcome: task.Terminated, Reason: "ended_out_of_sight"}
 	switch {
 	case r.Done:
 		report.Outcome = task.Done
@@ -233,7 +233,7 @@
 // countFailure counts a failed run, each once, and ends the job with the last attempt; it
 // reports whether it did.
 func (c *Coordinator) countFailure(now time.Duration, j *job, t *jobTask, run uint32) (ended bool) {
-	if j.Kept && slices.Contains(t.failedRuns, run) {
+	if j.Durable && slices.Contains(t.failedRuns, run) {
 		return false
 	}
 	t.failedRuns = append(t.failedRuns, run)
@@ -244,9 +244,9 @@
 	return j.ended
 }
 
-// Version returns the version of a kept job's progress and the progress itself; no tasks
+// Progress returns the version of a kept job's progress and the progress itself; no tasks
 // when the job has ended.
-func (c *Coordinator) Version(id string) (version uint64, tasks []Progress) {
+func (c *Coordinator) Progress(id string) (version uint64, tasks []Progress) {
 	if h := c.histories[id]; h != nil {
 		version = h.version
 	}
@@ -255,13 +255,13 @@
 		return version, nil
 	}
 	for _, t := range j.tasks {
-		tasks = append(tasks, Progress{Done: t.state == done, FailedRuns: t.failedRuns, Run: t.Run})
+		tasks = append(tasks, Progress{Done: t.state == done, FailedRuns: t.failedRuns, LastRun: t.Run})
 	}
 	return version, tasks
 }
 
-// Begun reports whether a task of the job has started.
-func (c *Coordinator) Begun(id string) bool {
+// HasStarted reports whether a task of the job has started.
+func (c *Coordinator) HasStarted(id string) bool {
 	j := c.jobs[id]
 	return j != nil && j.mayHaveRun
 }
@@ -274,16 +274,16 @@
 	c.withdraw(0, j) // of kept jobs the time says nothing
 	for i := first; i < len(c.out.Messages); i++ {
 		m := &c.out.Messages[i]
-		m.Relinquish, m.Withdraw = m.Withdraw, nil
+		m.WithdrawDurable, m.Withdraw = m.Withdraw, nil
 		if h := c.histories[j.ID]; h != nil {
-			h.left = append(h.left, Message{To: m.To, Withdraw: m.Relinquish})
+			h.left = append(h.left, Message{To: m.To, Withdraw: m.WithdrawDurable})
 		}
 	}
 }
 
-// Persisted tells that the progress of a kept job is stored up to a version; ended, that
+// HandlePersisted tells that the progress of a kept job is stored up to a version; ended, that
 // its end is too. Executors may acknowledge the ends.
-func (c *Coordinator) Persisted(id string, version uint64, ended bool) {
+func (c *Coordinator) HandlePersisted(id string, version uint64, ended bool) {
 	h := c.histories[id]
 	if h == nil {
 		return
@@ -294,8 +294,8 @@
 			rest = append(rest, e)
 			continue
 		}
-		m := c.message(e.holder, func(m *Message) bool { return m.Settle != nil })
-		m.Settle = append(m.Settle, e.run)
+		m := c.message(e.holder, func(m *Message) bool { return m.ConfirmStored != nil })
+		m.ConfirmStored = append(m.ConfirmStored, e.run)
 	}
 	h.ends = rest
 	if ended {
@@ -304,9 +304,9 @@
 	}
 }
 
-// Disown drops a kept job that is another daemon's now: what runs is stopped, and ends
+// DropJob drops a kept job that is another daemon's now: what runs is stopped, and ends
 // are left for the other to learn.
-func (c *Coordinator) Disown(id string) {
+func (c *Coordinator) DropJob(id string) {
 	delete(c.histories, id)
 	if j := c.jobs[id]; j != nil {
 		c.relinquish(j)
@@ -314,20 +314,20 @@
 	}
 }
 
-// Resign drops all kept jobs and leaves what runs for them to their heirs.
-func (c *Coordinator) Resign() {
+// DropDurableJobs drops all kept jobs and leaves what runs for them to their heirs.
+func (c *Coordinator) DropDurableJobs() {
 	for _, j := range c.sorted() {
-		if j.Kept {
+		if j.Durable {
 			delete(c.histories, j.ID)
 			c.drop(j)
 		}
 	}
 }
 
-// Hold stops the offering of kept tasks while it is uncertain that this daemon still owns
+// PauseDurable stops the offering of kept tasks while it is uncertain that this daemon still owns
 // their jobs. Afterwards executors are asked first for what is out of sight: they may have
 // been so for all that time, with ends that were not told.
-func (c *Coordinator) Hold(now time.Duration, held bool) {
+func (c *Coordinator) PauseDurable(now time.Duration, held bool) {
 	released := c.held && !held
 	c.held = held
 	if !released {
@@ -335,18 +335,18 @@
 	}
 	for _, j := range c.jobs {
 		for _, t := range j.tasks {
-			if t.Kept && t.state == lost {
+			if t.Durable && t.state == lost {
 				t.lostBy = max(t.lostBy, now+releaseWait)
 			}
 		}
 	}
 }
 
-// WithdrawKept takes back all tasks of kept jobs: this daemon has not been able to tell for
+// WithdrawDurable takes back all tasks of kept jobs: this daemon has not been able to tell for
 // too long whether it still owns them.
-func (c *Coordinator) WithdrawKept(now time.Duration) {
+func (c *Coordinator) WithdrawDurable(now time.Duration) {
 	for _, j := range c.sorted() {
-		if !j.Kept {
+		if !j.Durable {
 			continue
 		}
 		c.relinquish(j)
@@ -358,10 +358,10 @@
 	}
 }
 
-// KeptJobs returns the kept jobs by whether a task of them has started.
-func (c *Coordinator) KeptJobs(each func(id string, begun bool)) {
+// EachDurableJob returns the kept jobs by whether a task of them has started.
+func (c *Coordinator) EachDurableJob(each func(id string, begun bool)) {
 	for id, j := range c.jobs {
-		if j.Kept {
+		if j.Durable {
 			each(id, j.mayHaveRun)
 		}
 	}
--- a/coordinator/paces.go
+++ b/coordinator/paces.go
@@ -37,9 +37,9 @@
 	lost map[string]toldPace
 }
 
-// UsualPaces returns, by service, how many times as long as declared runs take on a usual worker:
+// MedianSlowdowns returns, by service, how many times as long as declared runs take on a usual worker:
 // the median over all executors that are in touch, which half of the workers can't change.
-func (c *Coordinator) UsualPaces(now time.Duration) map[string]float64 {
+func (c *Coordinator) MedianSlowdowns(now time.Duration) map[string]float64 {
 	return c.rooms.usualPaces(now)
 }
 
@@ -49,9 +49,9 @@
 	}
 	told := make(map[string][]float64)
 	for _, h := range r.holders {
-		for i := range h.Rooms {
-			if w := &h.Rooms[i]; w.Pace > 0 && h.offerable(now) {
-				told[w.Service] = append(told[w.Service], w.Pace)
+		for i := range h.Workers {
+			if w := &h.Workers[i]; w.Slowdown > 0 && h.offerable(now) {
+				told[w.Service] = append(told[w.Service], w.Slowdown)
 			}
 		}
 	}
@@ -65,12 +65,12 @@
 	return r.paces.usual
 }
 
-// PaceOf returns what was told of a worker last, and how long ago; 0 where nothing was.
-func (c *Coordinator) PaceOf(now time.Duration, worker string) (ratio float64, age time.Duration) {
+// Slowdown returns what was told of a worker last, and how long ago; 0 where nothing was.
+func (c *Coordinator) Slowdown(now time.Duration, worker string) (ratio float64, age time.Duration) {
 	for _, h := range c.rooms.holders {
-		for i := range h.Rooms {
-			if w := &h.Rooms[i]; w.Worker == worker && w.Pace > 0 {
-				return w.Pace, now - h.Heard
+		for i := range h.Workers {
+			if w := &h.Workers[i]; w.Worker == worker && w.Slowdown > 0 {
+				return w.Slowdown, now - h.ReportedAt
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 }
 
 // keep remembers what a holder told that is lost.
-func (p *paces) keep(now time.Duration, h *Holder) {
+func (p *paces) keep(now time.Duration, h *ExecutorState) {
 	if p.lost == nil {
 		p.lost = make(map[string]toldPace)
 	}
@@ -90,9 +90,9 @@
 			delete(p.lost, worker)
 		}
 	}
-	for i := range h.Rooms {
-		if w := &h.Rooms[i]; w.Pace > 0 {
-			p.lost[w.Worker] = toldPace{w.Pace, h.Heard}
+	for i := range h.Workers {
+		if w := &h.Workers[i]; w.Slowdown > 0 {
+			p.lost[w.Worker] = toldPace{w.Slowdown, h.ReportedAt}
 		}
 	}
 }
@@ -109,8 +109,8 @@
 const maxSpeed = 3
 
 // speed is the declared work that a worker does in the time that was declared for it.
-func (u usualRatio) speed(w *executor.Room) float64 {
-	pace := cmp.Or(w.Pace, float64(u), 1)
+func (u usualRatio) speed(w *executor.WorkerCapacity) float64 {
+	pace := cmp.Or(w.Slowdown, float64(u), 1)
 	return min(max(1/pace, 1.0/maxSpeed), maxSpeed)
 }
 
@@ -123,6 +123,6 @@
 }
 
 // tooSlow reports whether a worker is no room for the task by its speed.
-func (u usualRatio) tooSlow(now time.Duration, w *executor.Room, t *task.Task) bool {
-	return u > 0 && w.Pace >= slowRatio*float64(u) && executor.TooSlow(now, t, w.Pace/float64(u))
+func (u usualRatio) tooSlow(now time.Duration, w *executor.WorkerCapacity, t *task.Task) bool {
+	return u > 0 && w.Slowdown >= slowRatio*float64(u) && executor.TooSlow(now, t, w.Slowdown/float64(u))
 }
--- a/coordinator/rebalance.go
+++ b/coordinator/rebalance.go
@@ -19,13 +19,13 @@
 	var waiting []*jobTask
 	for _, j := range c.jobs {
 		for _, t := range j.tasks {
-			if t.state == offered && t.waiting && !t.reclaiming && !j.Kept && t.offers < maxMoves {
+			if t.state == offered && t.waiting && !t.reclaiming && !j.Durable && t.offers < maxMoves {
 				waiting = append(waiting, t)
 			}
 		}
 	}
 	slices.SortFunc(waiting, func(a, b *jobTask) int {
-		return cmp.Or(task.CompareBands(&a.Task, &b.Task), cmp.Compare(a.Due-a.Expected, b.Due-b.Expected), cmp.Compare(a.ID.String(), b.ID.String()))
+		return cmp.Or(task.CompareOverShare(&a.Task, &b.Task), cmp.Compare(a.Due-a.ExpectedRunTime, b.Due-b.ExpectedRunTime), cmp.Compare(a.ID.String(), b.ID.String()))
 	})
 	for _, t := range waiting {
 		if h := c.rooms.take(now, &t.Task); h != nil && h.Process != t.holder {
--- a/coordinator/reserve.go
+++ b/coordinator/reserve.go
@@ -14,12 +14,12 @@
 // of many. Each costs a place in a message there, and another to drop it.
 const reservations = 2
 
-// EventMoves is the name of the event of a task that is asked back for reserved room.
-const EventMoves = "task_moves"
+// EventTaskMoves is the name of the event of a task that is asked back for reserved room.
+const EventTaskMoves = "task_moves"
 
 // reserve asks other executors to tell of room for a task that waits at one.
 func (c *Coordinator) reserve(now time.Duration, t *jobTask) {
-	if t.Kept {
+	if t.Durable {
 		return
 	}
 	// The offer has taken the place of a reservation there; lost executors have forgotten theirs.
@@ -31,7 +31,7 @@
 		}
 	}
 	wanted := t.Task
-	wanted.Payload, wanted.Tenures = "", 0 // come with the offer
+	wanted.Payload, wanted.MaxEpoch = "", 0 // come with the offer
 	first := int(drawFor(&t.Task) % (1 << 30))
 	for i := range min(len(usable), reservations-len(t.reserved)) {
 		p := usable[(first+i)%len(usable)]
@@ -85,13 +85,13 @@
 		return
 	}
 	t.reclaiming, t.movesTo = true, from
-	c.event(EventMoves, t, fmt.Sprintf("from=%s to=%s", t.holder.Address, from.Address))
+	c.event(EventTaskMoves, t, fmt.Sprintf("from=%s to=%s", t.holder.Address, from.Address))
 	c.reclaim(t)
 }
 
 // target returns the executor that a task is to be offered to, and whether there is room: the
 // one that holds room for it, one that told of room, or one where it waits.
-func (c *Coordinator) target(now time.Duration, t *jobTask) (h *Holder, hasRoom bool) {
+func (c *Coordinator) target(now time.Duration, t *jobTask) (h *ExecutorState, hasRoom bool) {
 	h = c.rooms.get(t.movesTo)
 	t.movesTo = member.Process{}
 	if h != nil && h.offerable(now) {
--- a/coordinator/retire.go
+++ b/coordinator/retire.go
@@ -7,9 +7,9 @@
 // sooner calls would be refused too. It is the longest time that callers are told.
 const retiredRetryAfter = maxRetryAfter
 
-// Retire tells which failure domains' workers are to get no new runs. Executors say so too
+// SetRetiredDomains tells which failure domains' workers are to get no new runs. Executors say so too
 // with their next heartbeats; until then they would be offered tasks that they give back.
-func (c *Coordinator) Retire(domains map[string]bool) {
+func (c *Coordinator) SetRetiredDomains(domains map[string]bool) {
 	c.rooms.retired = domains
 	for _, h := range c.rooms.holders {
 		h.retire(domains)
@@ -18,9 +18,9 @@
 
 // retire closes the rooms of retired failure domains. Those that were taken back open with
 // the executor's next word.
-func (h *Holder) retire(domains map[string]bool) {
-	for i := range h.Rooms {
-		if r := &h.Rooms[i]; domains[r.Domain] {
+func (h *ExecutorState) retire(domains map[string]bool) {
+	for i := range h.Workers {
+		if r := &h.Workers[i]; domains[r.Domain] {
 			r.Open, r.Usable = false, false
 		}
 	}
@@ -32,8 +32,8 @@
 func (r *rooms) allRetired(now time.Duration, service string) bool {
 	known := false
 	for _, h := range r.holders {
-		for i := range h.Rooms {
-			room := &h.Rooms[i]
+		for i := range h.Workers {
+			room := &h.Workers[i]
 			if room.Service != service || !h.offerable(now) {
 				continue
 			}
--- a/coordinator/rooms.go
+++ b/coordinator/rooms.go
@@ -14,26 +14,26 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// Holder is what an executor last told of its workers.
-type Holder struct {
+// ExecutorState is what an executor last told of its workers.
+type ExecutorState struct {
 	Process member.Process
-	// Near is the order of preference: 0 for this daemon, 1 for its failure domain, 2 beyond.
-	Near int
+	// Distance is the order of preference: 0 for this daemon, 1 for its failure domain, 2 beyond.
+	Distance int
 	// Domain is its failure domain, Demands what its callers ask for.
 	Domain  string
 	Demands []Demand
-	// Rooms is what is left on each worker; the coordinator takes off what it offers
+	// Workers is what is left on each worker; the coordinator takes off what it offers
 	// until the next word of the executor.
-	Rooms []executor.Room
+	Workers []executor.WorkerCapacity
 	// Backlog is the work that waits there, by service.
 	Backlog map[string]executor.Backlog
 	// Leaving executors get nothing new.
 	Leaving bool
-	// Heard is when the executor told this; 0: not known.
-	Heard time.Duration
-	// Interval is the time after which its next word is due; 0: 100 ms.
-	Interval time.Duration
-	counted  counted
+	// ReportedAt is when the executor told this; 0: not known.
+	ReportedAt time.Duration
+	// ReportInterval is the time after which its next word is due; 0: 100 ms.
+	ReportInterval time.Duration
+	counted        counted
 	// tenures is how many of its tenures are known; 0: not told.
 	tenures uint64
 }
@@ -64,22 +64,22 @@
 )
 
 // offerable reports whether the executor is offered new tasks.
-func (h *Holder) offerable(now time.Duration) bool {
-	return !h.Leaving && (h.Heard == 0 || now-h.Heard <= cmp.Or(h.Interval, usualInterval)+overdueSlack)
+func (h *ExecutorState) offerable(now time.Duration) bool {
+	return !h.Leaving && (h.ReportedAt == 0 || now-h.ReportedAt <= cmp.Or(h.ReportInterval, usualInterval)+overdueSlack)
 }
 
 // rooms is the coordinator's idea of all executors.
 type rooms struct {
-	holders []*Holder
+	holders []*ExecutorState
 	// retired are the failure domains whose workers get no new runs.
 	retired map[string]bool
 	paces   paces
 }
 
-func (r *rooms) set(h Holder) {
+func (r *rooms) set(h ExecutorState) {
 	before := r.get(h.Process)
 	h.countTenures(before)
-	if before == nil || before.Near != h.Near {
+	if before == nil || before.Distance != h.Distance {
 		r.remove(h.Process)
 		r.insert(h)
 		return
@@ -88,10 +88,10 @@
 	before.retire(r.retired)
 }
 
-func (r *rooms) insert(h Holder) {
+func (r *rooms) insert(h ExecutorState) {
 	h.retire(r.retired)
-	at, _ := slices.BinarySearchFunc(r.holders, &h, func(a, b *Holder) int {
-		return cmp.Or(cmp.Compare(a.Near, b.Near), a.Process.Address.Compare(b.Process.Address), cmp.Compare(a.Process.Incarnation, b.Process.Incarnation))
+	at, _ := slices.BinarySearchFunc(r.holders, &h, func(a, b *ExecutorState) int {
+		return cmp.Or(cmp.Compare(a.Distance, b.Distance), a.Process.Address.Compare(b.Process.Address), cmp.Compare(a.Process.Incarnation, b.Process.Incarnation))
 	})
 	r.holders = slices.Insert(r.holders, at, &h)
 }
@@ -101,23 +101,23 @@
 func (r *rooms) copyTo(p *rooms) {
 	p.retired, p.paces = r.retired, r.paces
 	for len(p.holders) < len(r.holders) {
-		p.holders = append(p.holders, new(Holder))
+		p.holders = append(p.holders, new(ExecutorState))
 	}
 	p.holders = p.holders[:len(r.holders)]
 	for i, h := range r.holders {
 		n := p.holders[i]
-		list, backlog := append(n.Rooms[:0], h.Rooms...), n.Backlog
+		list, backlog := append(n.Workers[:0], h.Workers...), n.Backlog
 		if backlog == nil {
 			backlog = make(map[string]executor.Backlog, len(h.Backlog))
 		}
 		clear(backlog)
 		maps.Copy(backlog, h.Backlog)
 		*n = *h
-		n.Rooms, n.Backlog = list, backlog
+		n.Workers, n.Backlog = list, backlog
 	}
 }
 
-func (r *rooms) get(p member.Process) *Holder {
+func (r *rooms) get(p member.Process) *ExecutorState {
 	for _, h := range r.holders {
 		if h.Process == p {
 			return h
@@ -127,13 +127,13 @@
 }
 
 func (r *rooms) remove(p member.Process) {
-	r.holders = slices.DeleteFunc(r.holders, func(h *Holder) bool { return h.Process == p })
+	r.holders = slices.DeleteFunc(r.holders, func(h *ExecutorState) bool { return h.Process == p })
 }
 
 // take returns an executor with room for the task now and takes the room off: the nearest
 // one, with the tightest fit. Among equally near ones each task begins with another:
 // coordinators that all began with the same would take its room from each other.
-func (r *rooms) take(now time.Duration, t *task.Task) *Holder {
+func (r *rooms) take(now time.Duration, t *task.Task) *ExecutorState {
 	h, room := r.find(now, t)
 	if h != nil {
 		room.Free = room.Free.Minus(t.Demand)
@@ -144,7 +144,7 @@
 // fit reports whether there is room for all of the tasks now. It takes nothing.
 func (r *rooms) fit(now time.Duration, tasks []*task.Task) bool {
 	type taken struct {
-		room *executor.Room
+		room *executor.WorkerCapacity
 		free capacity.Vector
 	}
 	var undo []taken
@@ -164,12 +164,12 @@
 }
 
 // find returns the executor and the worker that the task is to be offered for.
-func (r *rooms) find(now time.Duration, t *task.Task) (*Holder, *executor.Room) {
+func (r *rooms) find(now time.Duration, t *task.Task) (*ExecutorState, *executor.WorkerCapacity) {
 	usual := r.usualRatio(now, t.Service)
 	draw := int(drawFor(t) % (1 << 30))
 	for rest := r.holders; len(rest) > 0; {
 		n := 1
-		for n < len(rest) && rest[n].Near == rest[0].Near {
+		for n < len(rest) && rest[n].Distance == rest[0].Distance {
 			n++
 		}
 		for i := range n {
@@ -192,8 +192,8 @@
 		if !h.offerable(now) {
 			continue
 		}
-		for i := range h.Rooms {
-			if h.Rooms[i].Usable {
+		for i := range h.Workers {
+			if h.Workers[i].Usable {
 				n++
 			}
 		}
@@ -205,10 +205,10 @@
 func drawFor(t *task.Task) uint64 { return xxhash.Sum64String(t.ID.String()) + uint64(t.Run) }
 
 // fit returns the worker with the tightest fit that isn't too slow.
-func (h *Holder) fit(now time.Duration, t *task.Task, usual usualRatio) *executor.Room {
-	var best *executor.Room
-	for i := range h.Rooms {
-		w := &h.Rooms[i]
+func (h *ExecutorState) fit(now time.Duration, t *task.Task, usual usualRatio) *executor.WorkerCapacity {
+	var best *executor.WorkerCapacity
+	for i := range h.Workers {
+		w := &h.Workers[i]
 		if !w.Open || w.Service != t.Service || !t.Demand.Fits(w.Free) || slices.Contains(t.Avoid, w.Worker) || usual.tooSlow(now, w, t) {
 			continue
 		}
@@ -221,17 +221,17 @@
 
 // close notes that the executor takes nothing until its next word. Its workers stay known: what
 // was offered there may run on them.
-func (h *Holder) close() {
-	for i := range h.Rooms {
-		h.Rooms[i].Open, h.Rooms[i].Usable = false, false
+func (h *ExecutorState) close() {
+	for i := range h.Workers {
+		h.Workers[i].Open, h.Workers[i].Usable = false, false
 	}
 	h.counted = counted{} // those were counted
 }
 
 // full notes that the executor has no room for the task now.
-func (h *Holder) full(t *task.Task) {
-	for i := range h.Rooms {
-		if w := &h.Rooms[i]; w.Service == t.Service && t.Demand.Fits(w.Free) {
+func (h *ExecutorState) full(t *task.Task) {
+	for i := range h.Workers {
+		if w := &h.Workers[i]; w.Service == t.Service && t.Demand.Fits(w.Free) {
 			w.Free.MilliCPU = t.Demand.MilliCPU - 1
 		}
 	}
@@ -240,7 +240,7 @@
 // queue returns the executor at which the task is to wait: of two, the one with the shorter
 // wait. The shortest of all would be the choice of all coordinators until its next
 // heartbeat. Nil when no worker may run the task.
-func (r *rooms) queue(now time.Duration, t *task.Task) *Holder {
+func (r *rooms) queue(now time.Duration, t *task.Task) *ExecutorState {
 	usable := r.holdersFor(now, t)
 	n := uint64(len(usable))
 	switch n {
@@ -260,8 +260,8 @@
 
 // holdersFor returns the executors with a worker for the task that isn't too slow; where there
 // is none, those with any.
-func (r *rooms) holdersFor(now time.Duration, t *task.Task) []*Holder {
-	var inTime, all []*Holder
+func (r *rooms) holdersFor(now time.Duration, t *task.Task) []*ExecutorState {
+	var inTime, all []*ExecutorState
 	usual := r.usualRatio(now, t.Service)
 	for _, h := range r.holders {
 		if !h.offerable(now) {
@@ -284,7 +284,7 @@
 // serves reports whether a worker of the service is known.
 func (r *rooms) serves(service string) bool {
 	for _, h := range r.holders {
-		for _, room := range h.Rooms {
+		for _, room := range h.Workers {
 			if room.Usable && room.Service == service {
 				return true
 			}
@@ -298,17 +298,17 @@
 
 // copies is how many such tasks the executor's workers can run at a time: a part of a
 // worker too small for one task is no room. Workers that are too slow are counted in all only.
-func (h *Holder) copies(now time.Duration, t *task.Task, usual usualRatio) (inTime, all int) {
-	k := countKey{t.Service, t.Demand, usual, now, t.Due, t.Expected}
+func (h *ExecutorState) copies(now time.Duration, t *task.Task, usual usualRatio) (inTime, all int) {
+	k := countKey{t.Service, t.Demand, usual, now, t.Due, t.ExpectedRunTime}
 	if h.counted.key == k {
 		return h.counted.inTime, h.counted.all
 	}
-	for i := range h.Rooms {
-		w := &h.Rooms[i]
+	for i := range h.Workers {
+		w := &h.Workers[i]
 		if !w.Usable || w.Service != t.Service {
 			continue
 		}
-		n := t.Demand.Copies(w.Total, maxCopies)
+		n := t.Demand.FitCount(w.Total, maxCopies)
 		all += n
 		if !usual.tooSlow(now, w, t) {
 			inTime += n
@@ -319,12 +319,12 @@
 }
 
 // waitAt is the time for which the work before the task keeps an executor's workers busy.
-func (r *rooms) waitAt(now time.Duration, h *Holder, t *task.Task) time.Duration {
+func (r *rooms) waitAt(now time.Duration, h *ExecutorState, t *task.Task) time.Duration {
 	copies, _ := h.copies(now, t, r.usualRatio(now, t.Service))
 	return waitFor(t, h.ahead(now, t), copies)
 }
 
-func (h *Holder) ahead(now time.Duration, t *task.Task) int64 {
+func (h *ExecutorState) ahead(now time.Duration, t *task.Task) int64 {
 	b := h.Backlog[t.Service]
 	return b.Ahead(now, t)
 }
@@ -358,7 +358,7 @@
 }
 
 // charge adds a task to the work that waits at an executor.
-func (h *Holder) charge(now time.Duration, t *task.Task) {
+func (h *ExecutorState) charge(now time.Duration, t *task.Task) {
 	if h.Backlog == nil {
 		h.Backlog = make(map[string]executor.Backlog)
 	}
@@ -375,7 +375,7 @@
 			continue
 		}
 		daemons++
-		for _, w := range h.Rooms {
+		for _, w := range h.Workers {
 			if w.Usable && w.Service == service {
 				milli += w.Total.MilliCPU
 			}
--- a/coordinator/shares.go
+++ b/coordinator/shares.go
@@ -35,8 +35,8 @@
 	unusedFor = 10 * time.Minute
 )
 
-// EventSurplus names the decision that a job is beyond its claim's share.
-const EventSurplus = "job_surplus"
+// EventOverShare names the decision that a job is beyond its claim's share.
+const EventOverShare = "job_surplus"
 
 // Demand is what the callers of a daemon ask of a queue.
 type Demand struct {
@@ -48,12 +48,12 @@
 // ShareState is what a queue's callers in this daemon's failure domain ask for and may have.
 type ShareState struct {
 	Service, Queue string
-	// Own is what this daemon's callers ask for, in thousandths of a core.
-	Own int64
+	// OwnDemand is what this daemon's callers ask for, in thousandths of a core.
+	OwnDemand int64
 	// Demand and Share are in thousandths of a core, over all daemons of the failure domain.
 	Demand, Share float64
-	// Surplus counts this daemon's jobs beyond the share, Refused those of them that were refused.
-	Surplus, Refused uint64
+	// OverShare counts this daemon's jobs beyond the share, Refused those of them that were refused.
+	OverShare, Refused uint64
 }
 
 // queueName names a queue of a service.
@@ -71,7 +71,7 @@
 	room float64
 	// patience is the part of its spare time that a surplus job may wait.
 	patience float64
-	usual    share.Usual[claimName]
+	usual    share.LearnedShares[claimName]
 	// names are the claims, daemons is how many tell of each.
 	names           []claimName
 	demands, shares map[claimName]float64
@@ -108,15 +108,15 @@
 	return list
 }
 
-// Shares tells of the queues that jobs came by here, and forgets those that are no longer used.
-func (c *Coordinator) Shares(now time.Duration) []ShareState {
+// ShareStates tells of the queues that jobs came by here, and forgets those that are no longer used.
+func (c *Coordinator) ShareStates(now time.Duration) []ShareState {
 	c.shares.forget(now)
 	list := make([]ShareState, 0, len(c.shares.standings))
 	for q, st := range c.shares.standings {
 		claim, d := claimName{q.queue, c.ownDomain()}, c.divide(now, q.service)
 		list = append(list, ShareState{
-			Service: q.service, Queue: q.queue, Own: int64(c.shares.meter.Rate(now, q)), Demand: d.demands[claim], Share: d.shares[claim],
-			Surplus: st.surplus, Refused: st.refused,
+			Service: q.service, Queue: q.queue, OwnDemand: int64(c.shares.meter.Rate(now, q)), Demand: d.demands[claim], Share: d.shares[claim],
+			OverShare: st.surplus, Refused: st.refused,
 		})
 	}
 	slices.SortFunc(list, func(a, b ShareState) int {
@@ -142,7 +142,7 @@
 // work is what the job asks for, in thousandths of a core and seconds.
 func (j *Job) work() (sum float64) {
 	for _, s := range j.Steps {
-		sum += float64(s.Count) * float64(s.Demand.MilliCPU) * s.Expected.Seconds()
+		sum += float64(s.Count) * float64(s.Demand.MilliCPU) * s.ExpectedRunTime.Seconds()
 	}
 	return sum
 }
@@ -152,7 +152,7 @@
 // metered: they take hours, and a rate says nothing of them.
 func (c *Coordinator) judgeShare(now time.Duration, j *job) {
 	work := j.work()
-	if j.Kept || work <= 0 {
+	if j.Durable || work <= 0 {
 		return
 	}
 	q := queueName{j.Service, j.Queue}
@@ -171,11 +171,11 @@
 	}
 	st.surplus++
 	for _, t := range j.tasks {
-		t.Surplus = true
+		t.OverShare = true
 	}
 	j.surplus = true
 	claim := claimName{j.Queue, c.ownDomain()}
-	c.out.Events = append(c.out.Events, executor.Event{Name: EventSurplus, ID: task.ID{Job: j.ID}, Detail: fmt.Sprintf(
+	c.out.Events = append(c.out.Events, executor.Event{Name: EventOverShare, ID: task.ID{Job: j.ID}, Detail: fmt.Sprintf(
 		"queue=%s demand_milli_cpu=%.0f share_milli_cpu=%.0f room_milli_cpu=%.0f", j.Queue, d.demands[claim], d.shares[claim], d.room)})
 }
 
@@ -282,8 +282,8 @@
 		if !h.offerable(now) {
 			continue
 		}
-		for i := range h.Rooms {
-			if w := &h.Rooms[i]; w.Usable && w.Service == service {
+		for i := range h.Workers {
+			if w := &h.Workers[i]; w.Usable && w.Service == service {
 				speed := usual.speed(w)
 				total += speed * float64(w.Total.MilliCPU)
 				used += speed * float64(w.Total.MilliCPU-w.Free.MilliCPU)
@@ -307,9 +307,9 @@
 
 // refusedFor names what limits a job that is refused, and counts it.
 func (c *Coordinator) refusedFor(j *job, why Reason) Reason {
-	if !j.surplus || why != ReasonNoRoom {
+	if !j.surplus || why != ReasonNoCapacity {
 		return why
 	}
 	c.standing(queueName{j.Service, j.Queue}).refused++
-	return ReasonShare
+	return ReasonOverShare
 }
--- a/coordinator/succession.go
+++ b/coordinator/succession.go
@@ -42,16 +42,16 @@
 	if s.by == from || !s.after(now, t.token) || c.rooms.get(s.by) == nil {
 		return
 	}
-	t.state, t.holder, t.token, t.Tenures = offered, s.by, s.token, c.rooms.knownTenures(s.by)
+	t.state, t.holder, t.token, t.MaxEpoch = offered, s.by, s.token, c.rooms.knownTenures(s.by)
 	c.event("task_claimed", t, "late")
 	c.out.Messages = append(c.out.Messages, Message{To: s.by, Claims: &executor.Claims{
 		Owner: c.self, Worker: t.worker, Tasks: []task.Task{t.Task},
 	}})
 }
 
-// HolderLost tells that an executor is gone or can't be reached. What it ran is claimed
+// HandleExecutorLost tells that an executor is gone or can't be reached. What it ran is claimed
 // from its successors.
-func (c *Coordinator) HolderLost(now time.Duration, p member.Process) {
+func (c *Coordinator) HandleExecutorLost(now time.Duration, p member.Process) {
 	told := c.told(p)
 	workers := maps.Clone(told)
 	maps.DeleteFunc(workers, func(w string, token uint64) bool {
@@ -87,7 +87,7 @@
 func (c *Coordinator) told(p member.Process) map[string]uint64 {
 	workers := make(map[string]uint64)
 	if h := c.rooms.get(p); h != nil {
-		for _, r := range h.Rooms {
+		for _, r := range h.Workers {
 			workers[r.Worker] = r.Token
 		}
 	}
@@ -121,8 +121,8 @@
 	c.claimLate(now, lostHolder, t)
 }
 
-// TakenOver answers a successor's question about a worker.
-func (c *Coordinator) TakenOver(now time.Duration, from member.Process, t executor.Takeover) {
+// HandleTakeover answers a successor's question about a worker.
+func (c *Coordinator) HandleTakeover(now time.Duration, from member.Process, t executor.Takeover) {
 	c.forgetOld(now)
 	c.rooms.tenureBegan(from, t)
 	if s := successionOf(now, from, t); !s.before(c.successors[t.Worker].token) {
@@ -140,7 +140,7 @@
 	for _, r := range t.Running {
 		running[r.ID] = r.Run
 	}
-	return succession{from, now, running, t.Token, t.Recalled}
+	return succession{from, now, running, t.Token, t.Reconciliation}
 }
 
 // answerTakeover claims what is this coordinator's and restarts what the worker doesn't list.
@@ -152,13 +152,13 @@
 			c.begun(c.jobs[r.ID.Job])
 			jt.Run, jt.state, jt.holder, jt.worker, jt.adopted = r.Run, offered, from, t.Worker, false
 			jt.token = t.Token
-			jt.Tenures = c.rooms.knownTenures(from)
+			jt.MaxEpoch = c.rooms.knownTenures(from)
 			c.jobs[r.ID.Job].mayHaveRun = true
 			claims.Tasks = append(claims.Tasks, jt.Task)
 			c.event("task_claimed", jt, "running")
 		}
 	}
-	for _, r := range t.Ended {
+	for _, r := range t.Completed {
 		c.endedBefore(now, s, t.Worker, r)
 	}
 	for _, j := range c.sorted() {
@@ -183,7 +183,7 @@
 // endedBefore takes an end that the worker listed for an earlier holder.
 func (c *Coordinator) endedBefore(now time.Duration, s succession, workerID string, r task.RunningTask) {
 	t := c.lookup(r.ID)
-	if t != nil && t.Kept {
+	if t != nil && t.Durable {
 		c.keptEnded(now, s.by, t, workerID, r)
 		return
 	}
@@ -196,7 +196,7 @@
 		return
 	}
 	j := c.jobs[r.ID.Job]
-	report := task.Report{ID: r.ID, Run: r.Run, Worker: workerID, Outcome: task.Gone, Reason: "ended_before_takeover"}
+	report := task.Report{ID: r.ID, Run: r.Run, Worker: workerID, Outcome: task.Terminated, Reason: "ended_before_takeover"}
 	switch {
 	case r.Done:
 		c.taskDone(now, j, t)
@@ -216,7 +216,7 @@
 		if _, ok := s.running[t.ID]; ok || t.worker != workerID || t.state != lost || !s.after(now, t.token) {
 			continue
 		}
-		c.restart(now, j, t, task.Report{ID: t.ID, Run: t.Run, Worker: workerID, Outcome: task.Gone, Reason: "not_listed_at_takeover"})
+		c.restart(now, j, t, task.Report{ID: t.ID, Run: t.Run, Worker: workerID, Outcome: task.Terminated, Reason: "not_listed_at_takeover"})
 	}
 }
 
@@ -241,7 +241,7 @@
 	for _, j := range c.sorted() {
 		for _, t := range j.tasks {
 			if !j.ended && t.state == lost && t.holder == p && t.worker == "" {
-				c.restart(now, j, t, task.Report{ID: t.ID, Run: t.Run, Outcome: task.Gone, Reason: "holder_succeeded"})
+				c.restart(now, j, t, task.Report{ID: t.ID, Run: t.Run, Outcome: task.Terminated, Reason: "holder_succeeded"})
 			}
 		}
 	}
--- a/coordinator/tenure.go
+++ b/coordinator/tenure.go
@@ -11,22 +11,22 @@
 // lost, and needs no bound.
 
 // countTenures takes the number of tenures that the rooms tell; what was known before is known.
-func (h *Holder) countTenures(before *Holder) {
-	if h.Near == 0 {
+func (h *ExecutorState) countTenures(before *ExecutorState) {
+	if h.Distance == 0 {
 		return
 	}
 	if before != nil {
 		h.tenures = before.tenures
 	}
-	for i := range h.Rooms {
-		h.tenures = max(h.tenures, h.Rooms[i].Tenure)
+	for i := range h.Workers {
+		h.tenures = max(h.tenures, h.Workers[i].Epoch)
 	}
 }
 
 // tenureBegan notes the tenure of a takeover, if all before it are known.
 func (r *rooms) tenureBegan(p member.Process, t executor.Takeover) {
-	if h := r.get(p); h != nil && h.tenures > 0 && t.Tenure == h.tenures+1 {
-		h.tenures = t.Tenure
+	if h := r.get(p); h != nil && h.tenures > 0 && t.Epoch == h.tenures+1 {
+		h.tenures = t.Epoch
 	}
 }
 
--- a/executor/answers.go
+++ b/executor/answers.go
@@ -9,8 +9,8 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// Answered takes a worker's answer to a call.
-func (e *Executor) Answered(now time.Duration, c Call, a Answer) {
+// HandleAnswer takes a worker's answer to a call.
+func (e *Executor) HandleAnswer(now time.Duration, c Call, a Answer) {
 	w := e.workers[c.Worker]
 	if w == nil {
 		return
@@ -128,7 +128,7 @@
 			r.stopped = a.Clock
 		}
 		if r.since > 0 {
-			w.nextLook = max(w.nextLook, now+e.config.StopWithin)
+			w.nextLook = max(w.nextLook, now+e.config.StopTimeout)
 			return
 		}
 		w.nextLook = now
@@ -169,7 +169,7 @@
 // endAll reports all runs of a worker that is gone.
 func (e *Executor) endAll(now time.Duration, w *worker, reason string) {
 	for _, r := range w.sorted() {
-		e.end(now, w, r, task.Gone, reason)
+		e.end(now, w, r, task.Terminated, reason)
 	}
 }
 
@@ -187,7 +187,7 @@
 // workerDied acts on the proof that the incarnation is over: nothing of it runs.
 func (e *Executor) workerDied(now time.Duration, w *worker) {
 	e.event("worker_died", w, nil, fmt.Sprintf("runs=%d", len(w.runs)))
-	e.endAll(now, w, ReasonDied)
+	e.endAll(now, w, ReasonWorkerDied)
 	w.phase, w.silent = acquiring, w.silent+1
 	w.token, w.polling, w.looking, w.reborn = 0, false, false, false
 	w.clock, w.granted = clock{}, 0
@@ -257,18 +257,18 @@
 		e.acquired(now, w, a)
 		return
 	}
-	for _, f := range a.Ended {
+	for _, f := range a.Completions {
 		if f.Number <= w.cursor {
 			continue
 		}
 		w.cursor = f.Number
 		if r := w.runs[f.ID]; r != nil && r.num == f.Run {
 			e.holdEnd(now, w, r, f)
-			e.end(now, w, r, outcomeOf(f), f.How)
+			e.end(now, w, r, outcomeOf(f), f.Result)
 		}
 	}
 	w.listedAt = now
-	shown := make(map[task.ID]Listed, len(a.Running))
+	shown := make(map[task.ID]ListedRun, len(a.Running))
 	for _, l := range a.Running {
 		shown[l.ID] = l
 	}
@@ -280,21 +280,21 @@
 			}
 			continue
 		}
-		if len(a.Ended) < listLimit {
+		if len(a.Completions) < listLimit {
 			e.absent(now, w, r, a.Clock)
 		}
 	}
 	e.watch(now, w, a.Clock)
 }
 
-func outcomeOf(f Ended) task.Outcome {
+func outcomeOf(f Completion) task.Outcome {
 	switch {
 	case f.Done:
 		return task.Done
 	case f.Failed:
 		return task.Failed
 	default:
-		return task.Gone
+		return task.Terminated
 	}
 }
 
@@ -302,13 +302,13 @@
 func (e *Executor) absent(now time.Duration, w *worker, r *run, clockMS int64) {
 	switch {
 	case r.since > 0 && clockMS > r.since:
-		e.end(now, w, r, task.Gone, "vanished")
+		e.end(now, w, r, task.Terminated, "vanished")
 	case r.stopped > 0 && clockMS > r.stopped:
 		// A run that was there when the stop came is listed until its end is.
-		e.end(now, w, r, task.Gone, "stopped_before_start")
+		e.end(now, w, r, task.Terminated, "stopped_before_start")
 	case r.deadline > 0 && clockMS > r.deadline:
 		// The start can't be carried out any more, and it has left no trace.
-		e.end(now, w, r, task.Gone, "never_started")
+		e.end(now, w, r, task.Terminated, "never_started")
 	case r.state == doubtful && r.stopSent == 0:
 		// It may still be on its way; a stop seals that it never starts.
 		state := r.state
--- a/executor/backlog.go
+++ b/executor/backlog.go
@@ -18,18 +18,18 @@
 // may take 1.6 times their time have to start within 50 ms to 0.7 s of their coming.
 var backlogBounds = [...]time.Duration{0, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond}
 
-// Within is the part of the tasks within their shares.
-func (b *Backlog) Within() []int64 { return b[:backlogParts] }
+// WithinShare is the part of the tasks within their shares.
+func (b *Backlog) WithinShare() []int64 { return b[:backlogParts] }
 
-// Surplus is the part of the surplus tasks.
-func (b *Backlog) Surplus() []int64 { return b[backlogParts:] }
+// OverShare is the part of the surplus tasks.
+func (b *Backlog) OverShare() []int64 { return b[backlogParts:] }
 
 // slack is how long the task may wait and still end in time.
-func slack(now time.Duration, t *task.Task) time.Duration { return t.Due - t.Expected - now }
+func slack(now time.Duration, t *task.Task) time.Duration { return t.Due - t.ExpectedRunTime - now }
 
 // Add adds a task.
 func (b *Backlog) Add(now time.Duration, t *task.Task) {
-	b[rank(now, t)] += t.Demand.MilliCPU * t.Expected.Milliseconds() / 1000
+	b[rank(now, t)] += t.Demand.MilliCPU * t.ExpectedRunTime.Milliseconds() / 1000
 }
 
 // Ahead is the work that is started before the task, if it came now.
@@ -44,7 +44,7 @@
 // rank is the part of a backlog that a task belongs to.
 func rank(now time.Duration, t *task.Task) int {
 	p := part(slack(now, t))
-	if t.Surplus {
+	if t.OverShare {
 		p += backlogParts
 	}
 	return p
--- a/executor/clear.go
+++ b/executor/clear.go
@@ -14,12 +14,12 @@
 	return time.Duration(float64(e.config.MaxLease)/(1-clockDrift)) + lapseMargin
 }
 
-// Clear reports whether nothing is here of what a lost coordinator ordered, kept tasks aside: the
+// Quiescent reports whether nothing is here of what a lost coordinator ordered, kept tasks aside: the
 // right to start its jobs may go to another then. What nobody has claimed on a worker that
 // was taken over may be its too, and so may what runs on one that may have been taken over by an
 // order without an answer: the earlier holder doesn't answer for it any more.
-func (e *Executor) Clear(now time.Duration, owner member.Process) bool {
-	if slices.ContainsFunc(e.queue, func(q *queued) bool { return q.owner == owner && !q.task.Kept }) {
+func (e *Executor) Quiescent(now time.Duration, owner member.Process) bool {
+	if slices.ContainsFunc(e.queue, func(q *queued) bool { return q.owner == owner && !q.task.Durable }) {
 		return false
 	}
 	for _, w := range e.order {
@@ -27,7 +27,7 @@
 			return false
 		}
 		for _, r := range w.runs {
-			if r.task == nil || r.owner == owner && !r.task.Kept {
+			if r.task == nil || r.owner == owner && !r.task.Durable {
 				return false
 			}
 		}
@@ -35,10 +35,10 @@
 	return true
 }
 
-// ClearOfLost reports the same for a coordinator that was lost and is back, of what it ordered
+// QuiescentAfterReturn reports the same for a coordinator that was lost and is back, of what it ordered
 // before. Where a worker was taken from this executor meanwhile, the next holder stops what nobody
 // claims, or it ends with its lease.
-func (e *Executor) ClearOfLost(now time.Duration, owner member.Process) bool {
+func (e *Executor) QuiescentAfterReturn(now time.Duration, owner member.Process) bool {
 	if at, ok := e.left[owner]; ok && now-at < e.leaseBound() {
 		return false
 	}
--- a/executor/config.go
+++ b/executor/config.go
@@ -12,8 +12,8 @@
 	// MaxLease is the longest lease that workers grant, whatever an order asks for. Default:
 	// Lease, or DefaultLease if that is longer.
 	MaxLease time.Duration
-	// StopWithin is how long a worker may take for a stop. Default DefaultStopWithin.
-	StopWithin time.Duration
+	// StopTimeout is how long a worker may take for a stop. Default DefaultStopTimeout.
+	StopTimeout time.Duration
 	// TokenSource returns a number for fencing tokens that is unique to this process and
 	// grows with time. Required.
 	TokenSource func() uint64
@@ -22,8 +22,8 @@
 const (
 	// DefaultLease is the longest lease that workers grant.
 	DefaultLease = time.Second
-	// DefaultStopWithin is the workers' own bound.
-	DefaultStopWithin = 50 * time.Millisecond
+	// DefaultStopTimeout is the workers' own bound.
+	DefaultStopTimeout = 50 * time.Millisecond
 	// clockDrift is how much slower a worker's clock may run than ours.
 	clockDrift = 0.02
 	// lapseMargin is added to the end of a lease for timers that fire late.
@@ -74,8 +74,8 @@
 	if c.MaxLease == 0 {
 		c.MaxLease = max(c.Lease, DefaultLease)
 	}
-	if c.StopWithin == 0 {
-		c.StopWithin = DefaultStopWithin
+	if c.StopTimeout == 0 {
+		c.StopTimeout = DefaultStopTimeout
 	}
 	return c
 }
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -113,7 +113,7 @@
 			w.info.Draining = true
 			continue
 		}
-		e.endAll(now, w, ReasonRemoved)
+		e.endAll(now, w, ReasonWorkerRemoved)
 		e.drop(w)
 	}
 	e.step(now)
@@ -125,12 +125,12 @@
 	// aren't read.
 	e.releaseHolds(func(h hold) bool { return h.worker == w })
 	e.forgetPace(w)
-	e.out.Dropped = append(e.out.Dropped, w.info.ID)
+	e.out.DroppedWorkers = append(e.out.DroppedWorkers, w.info.ID)
 	e.order = slices.DeleteFunc(e.order, func(o *worker) bool { return o == w })
 }
 
 // Offer takes tasks of a coordinator. Each ends in a report of NotRun, Done, Failed,
-// Gone or Moved, unless it is withdrawn.
+// Terminated or Moved, unless it is withdrawn.
 func (e *Executor) Offer(now time.Duration, owner member.Process, tasks []task.Task) {
 	for i := range tasks {
 		q := &queued{task: &tasks[i], owner: owner, since: now}
@@ -147,10 +147,10 @@
 // coordinators' idea of it was out of date.
 func (e *Executor) returnTaken(now time.Duration) {
 	e.queue = slices.DeleteFunc(e.queue, func(q *queued) bool {
-		if !q.task.OnlyNow || q.reserved {
+		if !q.task.NoWait || q.reserved {
 			return false
 		}
-		e.returnQueued(now, q, ReasonTaken)
+		e.returnQueued(now, q, ReasonCapacityTaken)
 		return true
 	})
 }
@@ -178,7 +178,7 @@
 // before orders the queue: tasks within their shares go first, of those the ones that have to
 // start soonest, and among equals the more urgent queue.
 func before(a, b *queued) int {
-	if order := cmp.Or(task.CompareBands(a.task, b.task), cmp.Compare(a.urgency(), b.urgency()), cmp.Compare(a.since, b.since)); order != 0 {
+	if order := cmp.Or(task.CompareOverShare(a.task, b.task), cmp.Compare(a.urgency(), b.urgency()), cmp.Compare(a.since, b.since)); order != 0 {
 		return order // most differ by then; an ID's text is costly
 	}
 	return cmp.Compare(a.task.ID.String(), b.task.ID.String())
@@ -187,7 +187,7 @@
 // urgency is the latest start that keeps the job on time; a step of priority counts as
 // priorityStep.
 func (q *queued) urgency() time.Duration {
-	return q.task.Due - q.task.Expected + time.Duration(q.task.Priority)*priorityStep
+	return q.task.Due - q.task.ExpectedRunTime + time.Duration(q.task.Priority)*priorityStep
 }
 
 // priorityStep is what one step of priority is worth in waiting time.
@@ -214,16 +214,16 @@
 	e.step(now)
 }
 
-// OwnerLost stops all that runs for a coordinator that is gone: its callers are told
+// HandleOwnerLost stops all that runs for a coordinator that is gone: its callers are told
 // nothing any more and will submit again, and the same task must not run twice then.
-func (e *Executor) OwnerLost(now time.Duration, owner member.Process) {
+func (e *Executor) HandleOwnerLost(now time.Duration, owner member.Process) {
 	e.queue = slices.DeleteFunc(e.queue, func(q *queued) bool { return q.owner == owner })
 	e.releaseHolds(func(h hold) bool { return h.owner == owner })
 	for _, w := range e.order {
 		for _, r := range w.runs {
 			switch {
 			case r.owner != owner || r.task == nil:
-			case r.task.Kept:
+			case r.task.Durable:
 				r.orphanedAt = now
 			default:
 				e.discard(now, w, r, "coordinator_lost")
@@ -273,28 +273,28 @@
 	e.step(now)
 }
 
-// Reasons of reports of NotRun and Gone.
+// Reasons of reports of NotRun and Terminated.
 const (
-	// ReasonNoRoom: the task waited for room until its last useful start.
-	ReasonNoRoom = "no_room_in_time"
+	// ReasonNoCapacity: the task waited for room until its last useful start.
+	ReasonNoCapacity = "no_room_in_time"
 	// ReasonNoWorker: this executor holds no worker that may run the task.
 	ReasonNoWorker = "no_worker"
-	// ReasonTaken: the task was to start at once, and there is no room now.
-	ReasonTaken = "room_taken"
-	// ReasonTenure: only workers taken since its coordinator last heard of this executor may run it.
-	ReasonTenure = "later_tenure"
+	// ReasonCapacityTaken: the task was to start at once, and there is no room now.
+	ReasonCapacityTaken = "room_taken"
+	// ReasonLaterEpoch: only workers taken since its coordinator last heard of this executor may run it.
+	ReasonLaterEpoch = "later_tenure"
 	// ReasonReclaimed: its coordinator has found room elsewhere.
 	ReasonReclaimed = "reclaimed"
-	// ReasonDied, ReasonReborn and ReasonRemoved are reasons of reports of Gone: the worker went
+	// ReasonWorkerDied, ReasonWorkerRestarted and ReasonWorkerRemoved are reasons of reports of Terminated: the worker went
 	// down with the run. Another incarnation answers, it is back under its ID, or its entry has
 	// vanished.
-	ReasonDied    = "worker_died"
-	ReasonReborn  = "worker_reborn"
-	ReasonRemoved = "worker_removed"
+	ReasonWorkerDied      = "worker_died"
+	ReasonWorkerRestarted = "worker_reborn"
+	ReasonWorkerRemoved   = "worker_removed"
 	// ReasonWithdrawn: its coordinator has taken it back.
 	ReasonWithdrawn = "withdrawn"
-	// ReasonRecalled: a coordinator has asked for what is known of its job.
-	ReasonRecalled = "recalled"
+	// ReasonReconciled: a coordinator has asked for what is known of its job.
+	ReasonReconciled = "recalled"
 )
 
 // expire gives back tasks that wait beyond their last useful start, and those that no
@@ -303,11 +303,11 @@
 	e.queue = slices.DeleteFunc(e.queue, func(q *queued) bool {
 		switch {
 		case now >= q.task.StartBy:
-			e.returnQueued(now, q, ReasonNoRoom)
+			e.returnQueued(now, q, ReasonNoCapacity)
 		case !e.canServe(q.task):
 			e.returnQueued(now, q, ReasonNoWorker)
 		case !e.canServeWithin(q.task):
-			e.returnQueued(now, q, ReasonTenure)
+			e.returnQueued(now, q, ReasonLaterEpoch)
 		default:
 			return false
 		}
@@ -321,7 +321,7 @@
 }
 
 func (e *Executor) report(owner member.Process, r task.Report) {
-	e.out.Reports = append(e.out.Reports, Owned{Owner: owner, Report: r})
+	e.out.Reports = append(e.out.Reports, OwnedReport{Owner: owner, Report: r})
 }
 
 func (e *Executor) event(name string, w *worker, r *run, detail string) {
@@ -346,7 +346,7 @@
 				continue
 			}
 			if e.onlyLater(now, q.task) {
-				e.returnQueued(now, q, ReasonTenure)
+				e.returnQueued(now, q, ReasonLaterEpoch)
 				continue
 			}
 		}
--- a/executor/kept.go
+++ b/executor/kept.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// OrphanWait is how long a kept run goes on without its coordinator: within this time
+	// OrphanTimeout is how long a kept run goes on without its coordinator: within this time
 	// another one has adopted the job and claims the run, or it is stopped, so that the
 	// task is safe to start again.
-	OrphanWait = 1200 * time.Millisecond
+	OrphanTimeout = 1200 * time.Millisecond
 	// unsettledPace is the time between polls of a worker that lists ends which may not be
 	// acknowledged yet: it doesn't hold such a poll back until something ends.
 	unsettledPace = 25 * time.Millisecond
@@ -62,8 +62,8 @@
 
 // States of jobs whose ends are held.
 const (
-	// JobNotKept: the store knows of no such job.
-	JobNotKept JobState = iota
+	// JobNotDurable: the store knows of no such job.
+	JobNotDurable JobState = iota
 	// JobOpen: it has not ended.
 	JobOpen
 	// JobEnded: it has.
@@ -71,31 +71,31 @@
 )
 
 // holdEnd holds the end of a kept run back.
-func (e *Executor) holdEnd(now time.Duration, w *worker, r *run, f Ended) {
+func (e *Executor) holdEnd(now time.Duration, w *worker, r *run, f Completion) {
 	switch {
 	case r.task == nil:
 		e.holdFound(now, w, f)
-	case r.task.Kept && !r.discard && (f.Done || f.Failed):
+	case r.task.Durable && !r.discard && (f.Done || f.Failed):
 		w.unsettled[f.Number] = heldEnd{RunningTask: f.RunningTask, lookUpAt: now + settleWait, owner: r.owner, lostAt: r.orphanedAt}
 	}
 }
 
 // holdFound holds back an end that was listed at a takeover: nobody here knows yet whether
 // its job is kept, so that is looked up at once.
-func (e *Executor) holdFound(now time.Duration, w *worker, f Ended) {
+func (e *Executor) holdFound(now time.Duration, w *worker, f Completion) {
 	if f.Done || f.Failed {
 		w.unsettled[f.Number] = heldEnd{RunningTask: f.RunningTask, lookUpAt: now, found: true}
 	}
 }
 
-// heldOutcome is how a run ended that is not listed any more: Gone unless its end is held.
+// heldOutcome is how a run ended that is not listed any more: Terminated unless its end is held.
 func (w *worker) heldOutcome(t *task.Task) task.Outcome {
 	for _, h := range w.unsettled {
 		if h.ID == t.ID && h.Run == t.Run {
-			return outcomeOf(Ended{RunningTask: h.RunningTask})
+			return outcomeOf(Completion{RunningTask: h.RunningTask})
 		}
 	}
-	return task.Gone
+	return task.Terminated
 }
 
 // acknowledged is the number up to which ends may be forgotten.
@@ -123,9 +123,9 @@
 	}
 }
 
-// Settle tells that ends are stored. A late one waits for the lapse all the same: whoever stored
+// ConfirmStored tells that ends are stored. A late one waits for the lapse all the same: whoever stored
 // it need not know of all coordinators that may have started the task again.
-func (e *Executor) Settle(now time.Duration, runs []task.RunRef) {
+func (e *Executor) ConfirmStored(now time.Duration, runs []task.RunRef) {
 	for _, w := range e.order {
 		if len(w.unsettled) == 0 {
 			continue
@@ -134,8 +134,8 @@
 	}
 }
 
-// Disregard tells of ends whose tasks were started again before the ends were known.
-func (e *Executor) Disregard(runs []task.RunRef) {
+// MarkSuperseded tells of ends whose tasks were started again before the ends were known.
+func (e *Executor) MarkSuperseded(runs []task.RunRef) {
 	for _, w := range e.order {
 		for n, h := range w.unsettled {
 			if slices.Contains(runs, task.RunRef{ID: h.ID, Run: h.Run}) {
@@ -146,18 +146,18 @@
 	}
 }
 
-// Resolve settles ends of jobs that were never kept. Those of kept jobs are settled by their
+// ApplyJobStates settles ends of jobs that were never kept. Those of kept jobs are settled by their
 // coordinators alone, who know whether the task was started again after the end: a job that has
 // ended meanwhile shows neither that this end was known nor by whom. State tells what the store
 // showed of a job at some time after asked.
-func (e *Executor) Resolve(now, asked time.Duration, state func(job string) JobState) {
+func (e *Executor) ApplyJobStates(now, asked time.Duration, state func(job string) JobState) {
 	for _, w := range e.order {
 		for n, h := range w.unsettled {
 			if h.lookUpAt > asked || h.late {
 				continue
 			}
 			s := state(h.ID.Job)
-			h.settled = s == JobNotKept && h.found
+			h.settled = s == JobNotDurable && h.found
 			h.late = !h.settled && (s != JobOpen || h.lookedUp)
 			h.lookUpAt, h.lookedUp = now+settleWait, true
 			w.unsettled[n] = h
@@ -207,20 +207,20 @@
 	return false
 }
 
-// askUnsettled asks for Resolve when it is time to look ends up.
+// askUnsettled asks for ApplyJobStates when it is time to look ends up.
 func (e *Executor) askUnsettled(now time.Duration) {
 	for _, w := range e.order {
 		for _, h := range w.unsettled {
 			if now >= h.lookUpAt && !h.late {
-				e.out.Unsettled = append(e.out.Unsettled, h.ID.Job)
+				e.out.JobsToLookUp = append(e.out.JobsToLookUp, h.ID.Job)
 			}
 		}
 	}
 }
 
-// Relinquish takes tasks of kept jobs back from a coordinator that may not order them any
+// WithdrawDurable takes tasks of kept jobs back from a coordinator that may not order them any
 // more: what waits is dropped and what runs is stopped, and its end is kept for the next.
-func (e *Executor) Relinquish(now time.Duration, owner member.Process, ids []task.ID) {
+func (e *Executor) WithdrawDurable(now time.Duration, owner member.Process, ids []task.ID) {
 	for _, id := range ids {
 		e.queue = slices.DeleteFunc(e.queue, func(q *queued) bool { return q.owner == owner && q.task.ID == id })
 		for _, w := range e.order {
@@ -232,30 +232,30 @@
 	e.step(now)
 }
 
-// Recall tells a coordinator what is known here of kept jobs that it looks after. Of each
+// Reconcile tells a coordinator what is known here of kept jobs that it looks after. Of each
 // worker concerned all is told, runs and ends that are not settled: what is not in such a
 // list is over. What waits is given back, as it has not run.
-func (e *Executor) Recall(now time.Duration, by member.Process, jobs []string) {
+func (e *Executor) Reconcile(now time.Duration, by member.Process, jobs []string) {
 	asked := func(id task.ID) bool { return slices.Contains(jobs, id.Job) }
 	e.queue = slices.DeleteFunc(e.queue, func(q *queued) bool {
 		if !asked(q.task.ID) {
 			return false
 		}
-		e.report(q.owner, task.Report{ID: q.task.ID, Run: q.task.Run, Outcome: task.NotRun, Reason: ReasonRecalled})
+		e.report(q.owner, task.Report{ID: q.task.ID, Run: q.task.Run, Outcome: task.NotRun, Reason: ReasonReconciled})
 		return true
 	})
 	for _, w := range e.order {
 		if w.phase != held && w.phase != claiming {
 			continue
 		}
-		t := Takeover{To: by, Worker: w.info.ID, Tenure: w.tenure, Token: w.obeyed, Recalled: true}
+		t := Takeover{To: by, Worker: w.info.ID, Epoch: w.tenure, Token: w.obeyed, Reconciliation: true}
 		known := false
 		for _, r := range w.sorted() {
 			t.Running = append(t.Running, task.RunningTask{ID: r.id, Run: r.num})
 			known = known || asked(r.id)
 		}
 		for n, h := range w.unsettled {
-			t.Ended = append(t.Ended, h.RunningTask)
+			t.Completed = append(t.Completed, h.RunningTask)
 			if asked(h.ID) {
 				known = true
 				h.owner, h.lostAt, h.found = by, 0, false
@@ -263,7 +263,7 @@
 			}
 		}
 		if known {
-			e.event("runs_recalled", w, nil, fmt.Sprintf("by=%s running=%d ended=%d", by.Address, len(t.Running), len(t.Ended)))
+			e.event("runs_recalled", w, nil, fmt.Sprintf("by=%s running=%d ended=%d", by.Address, len(t.Running), len(t.Completed)))
 			e.out.Takeovers = append(e.out.Takeovers, t)
 		}
 	}
@@ -273,7 +273,7 @@
 // endOrphans stops kept runs that no coordinator has claimed in time.
 func (e *Executor) endOrphans(now time.Duration, w *worker) {
 	for _, r := range w.sorted() {
-		if r.orphanedAt > 0 && now-r.orphanedAt >= OrphanWait && r.state != stopping {
+		if r.orphanedAt > 0 && now-r.orphanedAt >= OrphanTimeout && r.state != stopping {
 			e.event("run_orphaned", w, r, "stopped")
 			e.stop(now, w, r)
 		}
