--- a/executor/messages.go
+++ b/executor/messages.go
@@ -37,7 +37,7 @@
 )
 
 // Call is an order that the embedder sends to a worker. Each is answered by exactly one
-// call of Answered.
+// call of HandleAnswer.
 type Call struct {
 	Kind    CallKind
 	Worker  string
@@ -101,16 +101,16 @@
 	return verdictNames[0]
 }
 
-// Ended is one entry of a worker's list of ends.
-type Ended struct {
+// Completion is one entry of a worker's list of ends.
+type Completion struct {
 	Number uint64
 	task.RunningTask
-	// How is the worker's word, for logs.
-	How string
+	// Result is the worker's word, for logs.
+	Result string
 }
 
-// Listed is one run in a worker's list.
-type Listed struct {
+// ListedRun is one run in a worker's list.
+type ListedRun struct {
 	task.RunningTask
 	// Percent is the progress.
 	Percent int
@@ -123,28 +123,28 @@
 	Clock int64
 	// Incarnation is when the life that answers began; 0 when it wasn't told.
 	Incarnation int64
-	Running     []Listed
-	Ended       []Ended
+	Running     []ListedRun
+	Completions []Completion
 }
 
-// Owned is a report with the coordinator it is for.
-type Owned struct {
+// OwnedReport is a report with the coordinator it is for.
+type OwnedReport struct {
 	Owner member.Process
 	task.Report
 }
 
 // Takeover asks all coordinators which runs of a worker are theirs.
 type Takeover struct {
-	// To is the coordinator that has asked by Recall; the zero value is for all.
-	To      member.Process
-	Worker  string
-	Running []task.RunningTask
-	Ended   []task.RunningTask
-	// Tenure is the number of this executor's tenure of the worker, Token the fencing token that the
+	// To is the coordinator that has asked by Reconcile; the zero value is for all.
+	To        member.Process
+	Worker    string
+	Running   []task.RunningTask
+	Completed []task.RunningTask
+	// Epoch is the number of this executor's tenure of the worker, Token the fencing token that the
 	// worker obeys in it; 0: not told.
-	Tenure, Token uint64
-	// Recalled: it answers Recall, and its lists are of now, not of when the tenure began.
-	Recalled bool
+	Epoch, Token uint64
+	// Reconciliation: it answers Reconcile, and its lists are of now, not of when the tenure began.
+	Reconciliation bool
 }
 
 // Claims is a coordinator's reply to a Takeover: those of its tasks that may run there.
@@ -157,13 +157,13 @@
 // Output is what the embedder has to carry out, in order.
 type Output struct {
 	Calls     []Call
-	Reports   []Owned
+	Reports   []OwnedReport
 	Takeovers []Takeover
 	Events    []Event
-	// Dropped are workers that have left; nothing is ordered of them any more.
-	Dropped []string
-	// Unsettled lists jobs whose ends are held and whose state is asked for, by Resolve.
-	Unsettled []string
+	// DroppedWorkers are workers that have left; nothing is ordered of them any more.
+	DroppedWorkers []string
+	// JobsToLookUp lists jobs whose ends are held and whose state is asked for, by ApplyJobStates.
+	JobsToLookUp []string
 }
 
 // Event is a decision or a changed belief, for the log.
@@ -179,17 +179,17 @@
 
 // Names of events; all are in docs/OPERATIONS.md.
 const (
-	EventStarted   = "run_started"
-	EventEnded     = "run_ended"
-	EventRequeued  = "task_requeued"
-	EventGivenBack = "task_given_back"
-	EventRoomHeld  = "room_held"
+	EventStarted          = "run_started"
+	EventEnded            = "run_ended"
+	EventRequeued         = "task_requeued"
+	EventGivenBack        = "task_given_back"
+	EventCapacityReserved = "room_held"
 	// EventDiscarded: a run is stopped, as its coordinator doesn't want it any more or is lost.
 	EventDiscarded = "run_discarded"
 )
 
-// Room is what a worker has left.
-type Room struct {
+// WorkerCapacity is what a worker has left.
+type WorkerCapacity struct {
 	Worker  string
 	Service string
 	// Domain is the worker's failure domain.
@@ -198,9 +198,9 @@
 	Total  capacity.Vector
 	// Open is false while the worker gets no new runs; Usable tells that it will soon.
 	Open, Usable bool
-	// Pace is how many times as long as declared runs take on the worker; 0: not known.
-	Pace float64
-	// Tenure is the number of this executor's tenure of the worker, Token the fencing token that the
+	// Slowdown is how many times as long as declared runs take on the worker; 0: not known.
+	Slowdown float64
+	// Epoch is the number of this executor's tenure of the worker, Token the fencing token that the
 	// worker obeys in it; 0: not told.
-	Tenure, Token uint64
+	Epoch, Token uint64
 }
--- a/executor/place.go
+++ b/executor/place.go
@@ -119,16 +119,16 @@
 // outlasts reports whether the task, started now where it takes so many times as long as usual,
 // probably ends after a time.
 func outlasts(now time.Duration, t *task.Task, slowness float64, by time.Duration) bool {
-	return now+time.Duration(declaredMargin*slowness*float64(t.Expected)) > by
+	return now+time.Duration(declaredMargin*slowness*float64(t.ExpectedRunTime)) > by
 }
 
 // callerDeadline is when the task's caller gives up. Coordinators tell by when it may start, with
 // half of its time left.
-func callerDeadline(t *task.Task) time.Duration { return t.StartBy + t.Expected/2 }
+func callerDeadline(t *task.Task) time.Duration { return t.StartBy + t.ExpectedRunTime/2 }
 
 // mayWait reports whether a task that starts later on a usual worker may still be on time.
 func mayWait(now time.Duration, t *task.Task) bool {
-	return now+t.Expected <= t.Due
+	return now+t.ExpectedRunTime <= t.Due
 }
 
 // TooSlow reports whether a worker that takes so many times as long as usual is no room for the
@@ -144,7 +144,7 @@
 	if mayWait(now, t) && (t.Label == "" || e.faster(now, t)) {
 		return true
 	}
-	return !t.Kept && outlasts(now, t, slowness, callerDeadline(t)) && e.faster(now, t)
+	return !t.Durable && outlasts(now, t, slowness, callerDeadline(t)) && e.faster(now, t)
 }
 
 // faster reports whether a worker in use would run the task as usual.
--- a/executor/polls.go
+++ b/executor/polls.go
@@ -139,7 +139,7 @@
 		if r.state != running || r.task == nil || w.silent > 0 {
 			continue
 		}
-		if now-r.changed < standstill+r.task.Expected/8 || now-w.listedAt > standstill/2 {
+		if now-r.changed < standstill+r.task.ExpectedRunTime/8 || now-w.listedAt > standstill/2 {
 			continue
 		}
 		e.event("run_stands_still", w, r, fmt.Sprintf("percent=%d for=%s", r.percent, now-r.changed))
@@ -153,7 +153,7 @@
 // stopForRestart stops a run whose coordinator waits for the proof that it is over.
 func (e *Executor) stopForRestart(now time.Duration, w *worker, r *run) {
 	e.stop(now, w, r)
-	w.nextLook = now + e.config.StopWithin
+	w.nextLook = now + e.config.StopTimeout
 }
 
 const (
--- a/executor/probe.go
+++ b/executor/probe.go
@@ -24,8 +24,8 @@
 // probeFor returns a slow worker for which it is time to be tried, if the task can be on time
 // elsewhere when the try shows that the worker still is slow.
 func (e *Executor) probeFor(now time.Duration, t *task.Task) *worker {
-	look := max(time.Duration(windowShare*float64(t.Expected)), minProbe)
-	if t.Kept || len(t.Avoid) > 0 || !e.restartable(now+look+lookSlack, t, t.Due) {
+	look := max(time.Duration(windowShare*float64(t.ExpectedRunTime)), minProbe)
+	if t.Durable || len(t.Avoid) > 0 || !e.restartable(now+look+lookSlack, t, t.Due) {
 		return nil
 	}
 	for _, w := range e.order {
@@ -41,13 +41,13 @@
 
 // restartable reports whether a task that is stopped at a time can end elsewhere by another.
 func (e *Executor) restartable(at time.Duration, t *task.Task, by time.Duration) bool {
-	expected := time.Duration(math.Exp(e.usualFor(t.Service)) * float64(t.Expected))
-	return at+e.config.StopWithin+restartMargin+expected <= by
+	expected := time.Duration(math.Exp(e.usualFor(t.Service)) * float64(t.ExpectedRunTime))
+	return at+e.config.StopTimeout+restartMargin+expected <= by
 }
 
 // noteStart notes a start on a slow worker.
 func (e *Executor) noteStart(now time.Duration, w *worker, r *run) {
-	if r.task.Kept || e.lateOn(now, w, r.task) == 0 {
+	if r.task.Durable || e.lateOn(now, w, r.task) == 0 {
 		return
 	}
 	if r.probe = e.restartable(now, r.task, r.task.Due); r.probe {
@@ -66,7 +66,7 @@
 		return
 	}
 	for _, r := range w.sorted() {
-		if r.state != running || r.task == nil || r.deadline == 0 || r.discard || r.task.Kept || len(r.task.Avoid) > 0 || !r.seen {
+		if r.state != running || r.task == nil || r.deadline == 0 || r.discard || r.task.Durable || len(r.task.Avoid) > 0 || !r.seen {
 			continue
 		}
 		end, deadline := r.foreseenEnd(now, w.pace.mean), callerDeadline(r.task)
@@ -83,7 +83,7 @@
 // foreseenEnd is when the run ends at its worker's pace.
 func (r *run) foreseenEnd(now time.Duration, pace float64) time.Duration {
 	left := float64(100-min(r.percent, 100)) / 100 * math.Exp(pace)
-	return now + time.Duration(left*float64(r.task.Expected))
+	return now + time.Duration(left*float64(r.task.ExpectedRunTime))
 }
 
 // roomBeside reports whether another worker has room on which the task would not be late.
--- a/executor/rebirth.go
+++ b/executor/rebirth.go
@@ -65,7 +65,7 @@
 	w.incarnation, w.incarnationSince = incarnation, now
 	for _, r := range w.sorted() {
 		if r.since > 0 {
-			e.end(now, w, r, task.Gone, ReasonReborn)
+			e.end(now, w, r, task.Terminated, ReasonWorkerRestarted)
 		}
 	}
 	w.forgetEnds()
@@ -115,19 +115,19 @@
 	for _, l := range a.Running {
 		shown[l.ID] = l.Run
 	}
-	for _, f := range a.Ended {
+	for _, f := range a.Completions {
 		if r := w.runs[f.ID]; r != nil && r.num == f.Run && r.task != nil {
 			w.cursor = max(w.cursor, f.Number)
 			e.holdEnd(now, w, r, f)
-			e.end(now, w, r, outcomeOf(f), f.How)
+			e.end(now, w, r, outcomeOf(f), f.Result)
 		}
 	}
 	for _, r := range w.sorted() {
-		if num, ok := shown[r.id]; ok && num == r.num || len(a.Ended) >= listLimit {
+		if num, ok := shown[r.id]; ok && num == r.num || len(a.Completions) >= listLimit {
 			e.confirm(r, w, a.Clock) // where the list is incomplete, the next tells
 			continue
 		}
-		e.end(now, w, r, task.Gone, "refused_from_now_on")
+		e.end(now, w, r, task.Terminated, "refused_from_now_on")
 	}
 }
 
--- a/executor/reserve.go
+++ b/executor/reserve.go
@@ -9,9 +9,9 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// ReasonRoom is the reason of a report of NotRun for a reservation: there is room for the task
+// ReasonReserved is the reason of a report of NotRun for a reservation: there is room for the task
 // here, held for holdTime.
-const ReasonRoom = "room_reserved"
+const ReasonReserved = "room_reserved"
 
 const (
 	// holdTime is how long room is held for a task after its coordinator was told of it: until
@@ -33,12 +33,12 @@
 }
 
 // Reserve queues tasks that wait at other executors. Once there is room for one it is held for a
-// moment, and its coordinator is told by a report of NotRun, with ReasonRoom; nothing is started
+// moment, and its coordinator is told by a report of NotRun, with ReasonReserved; nothing is started
 // before an Offer.
 func (e *Executor) Reserve(now time.Duration, owner member.Process, tasks []task.Task) {
 	left := maxReservations - e.Reservations()
 	for i := range min(len(tasks), left) {
-		tasks[i].Tenures = 0 // an offer comes before anything is started, and tells them
+		tasks[i].MaxEpoch = 0 // an offer comes before anything is started, and tells them
 		e.unreserve(owner, tasks[i].ID)
 		e.enqueue(&queued{task: &tasks[i], owner: owner, since: now, reserved: true})
 	}
@@ -83,8 +83,8 @@
 	}
 	w.used = w.used.Plus(q.task.Demand)
 	e.holds = append(e.holds, hold{id: q.task.ID, owner: q.owner, worker: w, demand: q.task.Demand, until: now + holdTime})
-	e.out.Events = append(e.out.Events, Event{Name: EventRoomHeld, ID: q.task.ID, Run: q.task.Run, Worker: w.info.ID, Age: now - q.since})
-	e.report(q.owner, task.Report{ID: q.task.ID, Run: q.task.Run, Outcome: task.NotRun, Worker: w.info.ID, Reason: ReasonRoom})
+	e.out.Events = append(e.out.Events, Event{Name: EventCapacityReserved, ID: q.task.ID, Run: q.task.Run, Worker: w.info.ID, Age: now - q.since})
+	e.report(q.owner, task.Report{ID: q.task.ID, Run: q.task.Run, Outcome: task.NotRun, Worker: w.info.ID, Reason: ReasonReserved})
 }
 
 // startHeld starts an offered task where room is held for it. One that comes too late isn't
--- a/executor/rooms.go
+++ b/executor/rooms.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Rooms returns what is left on each worker in use.
-func (e *Executor) Rooms(now time.Duration) []Room {
-	return e.AppendRooms(make([]Room, 0, len(e.order)), now)
+// WorkerCapacities returns what is left on each worker in use.
+func (e *Executor) WorkerCapacities(now time.Duration) []WorkerCapacity {
+	return e.AppendWorkerCapacities(make([]WorkerCapacity, 0, len(e.order)), now)
 }
 
-// AppendRooms appends what is left on each worker in use, and on those where runs are left.
-func (e *Executor) AppendRooms(rooms []Room, now time.Duration) []Room {
+// AppendWorkerCapacities appends what is left on each worker in use, and on those where runs are left.
+func (e *Executor) AppendWorkerCapacities(rooms []WorkerCapacity, now time.Duration) []WorkerCapacity {
 	for _, w := range e.order {
 		if w.told() {
-			rooms = append(rooms, Room{
+			rooms = append(rooms, WorkerCapacity{
 				Worker: w.info.ID, Service: w.info.Service, Domain: w.info.Domain, Free: w.free(), Total: w.info.Capacity,
-				Open: w.open(now), Usable: w.usable(), Pace: w.pace.ratio(), Tenure: w.tenure, Token: w.obeyed,
+				Open: w.open(now), Usable: w.usable(), Slowdown: w.pace.ratio(), Epoch: w.tenure, Token: w.obeyed,
 			})
 		}
 	}
 	return rooms
 }
 
-// Holds returns the workers in use.
-func (e *Executor) Holds() []string {
+// HeldWorkers returns the workers in use.
+func (e *Executor) HeldWorkers() []string {
 	var ids []string
 	for _, w := range e.order {
 		if w.phase == held || w.phase == claiming {
--- a/executor/speed.go
+++ b/executor/speed.go
@@ -89,18 +89,18 @@
 	}
 }
 
-// SetUsual tells, by service, how many times as long as declared runs take on a usual worker
+// SetMedianSlowdowns tells, by service, how many times as long as declared runs take on a usual worker
 // of all holders'. A holder all of whose workers are slow can't see it by comparing them.
-func (e *Executor) SetUsual(usual map[string]float64) {
+func (e *Executor) SetMedianSlowdowns(usual map[string]float64) {
 	e.toldUsual = make(map[string]float64, len(usual))
 	for service, ratio := range usual {
 		e.toldUsual[service] = math.Log(ratio)
 	}
 }
 
-// Inherit takes over what other holders have told of workers that are new here, and how long
+// ImportSlowdowns takes over what other holders have told of workers that are new here, and how long
 // ago. What is wrong costs little: the worker is tried at once, and judged by what it does.
-func (e *Executor) Inherit(now time.Duration, told func(worker string) (ratio float64, age time.Duration)) {
+func (e *Executor) ImportSlowdowns(now time.Duration, told func(worker string) (ratio float64, age time.Duration)) {
 	for _, w := range e.order {
 		if w.pace.askUntil == 0 {
 			w.pace.askUntil = now + inheritFor
@@ -164,10 +164,10 @@
 
 // ratio is actual over declared time, as a logarithm; ok is false where a run tells nothing.
 func (r *run) ratio(took time.Duration) (ratio float64, ok bool) {
-	if r.task == nil || r.deadline == 0 || r.task.Expected <= 0 || took <= 0 {
+	if r.task == nil || r.deadline == 0 || r.task.ExpectedRunTime <= 0 || took <= 0 {
 		return 0, false
 	}
-	return math.Log(float64(took) / float64(r.task.Expected)), true
+	return math.Log(float64(took) / float64(r.task.ExpectedRunTime)), true
 }
 
 // slowness is how many times as long as usual the worker's runs take; 1 where that isn't
--- a/executor/suspect.go
+++ b/executor/suspect.go
@@ -226,7 +226,7 @@
 // progress tells the pace of a run since it was last told. Runs that may go on from a
 // checkpoint tell nothing.
 func (r *run) progress(now time.Duration, clockMS int64) (observation, bool) {
-	if r.state != running || r.task == nil || r.deadline == 0 || r.task.Kept || r.since == 0 {
+	if r.state != running || r.task == nil || r.deadline == 0 || r.task.Durable || r.since == 0 {
 		return observation{}, false
 	}
 	if r.markedAt == 0 {
@@ -242,7 +242,7 @@
 // window tells the pace of a run over a time in which it has come to a percentage.
 func (r *run) window(now, window time.Duration, percent int) (observation, bool) {
 	ratio, ok := r.ratio(window)
-	if !ok || window < max(minWindow, time.Duration(windowShare*float64(r.task.Expected))) {
+	if !ok || window < max(minWindow, time.Duration(windowShare*float64(r.task.ExpectedRunTime))) {
 		return observation{}, false
 	}
 	grown := float64(percent-r.marked) / 100
@@ -262,9 +262,9 @@
 		if r.looked || r.seen || r.state != running || r.task == nil {
 			continue
 		}
-		after := lookAfter * math.Exp(e.usualFor(w.info.Service)) * float64(r.task.Expected)
+		after := lookAfter * math.Exp(e.usualFor(w.info.Service)) * float64(r.task.ExpectedRunTime)
 		if r.probe {
-			after = max(windowShare*float64(r.task.Expected), float64(minProbe))
+			after = max(windowShare*float64(r.task.ExpectedRunTime), float64(minProbe))
 		}
 		if now-r.began >= time.Duration(after) {
 			r.looked, found = true, true
--- a/executor/takeover.go
+++ b/executor/takeover.go
@@ -54,7 +54,7 @@
 	}
 	w.claimBy = now + claimWait
 	w.waiting = nil
-	t := Takeover{Worker: w.info.ID, Tenure: w.tenure, Token: w.obeyed}
+	t := Takeover{Worker: w.info.ID, Epoch: w.tenure, Token: w.obeyed}
 	e.resume(now, w, a)
 	for _, l := range a.Running {
 		if r := w.runs[l.ID]; r == nil || r.num != l.Run {
@@ -62,23 +62,23 @@
 		}
 		t.Running = append(t.Running, l.RunningTask)
 	}
-	for _, f := range a.Ended {
+	for _, f := range a.Completions {
 		if f.Number <= w.cursor {
 			continue // of a run that this executor started itself
 		}
 		w.cursor = f.Number
-		t.Ended = append(t.Ended, f.RunningTask)
+		t.Completed = append(t.Completed, f.RunningTask)
 		e.holdFound(now, w, f)
 	}
 	// Our leases may not shorten what an earlier holder granted.
 	w.granted = max(w.granted, a.Clock+e.config.Lease.Milliseconds())
-	e.event("worker_held", w, nil, fmt.Sprintf("token=%d running=%d ended=%d", w.token, len(t.Running), len(t.Ended)))
+	e.event("worker_held", w, nil, fmt.Sprintf("token=%d running=%d ended=%d", w.token, len(t.Running), len(t.Completed)))
 	e.out.Takeovers = append(e.out.Takeovers, t)
 }
 
-// Asked tells which coordinators a takeover was sent to; the worker opens when all have
+// ExpectClaims tells which coordinators a takeover was sent to; the worker opens when all have
 // answered, or after claimWait.
-func (e *Executor) Asked(now time.Duration, workerID string, coordinators []member.Process) {
+func (e *Executor) ExpectClaims(now time.Duration, workerID string, coordinators []member.Process) {
 	w := e.workers[workerID]
 	if w == nil || w.phase != claiming {
 		return
@@ -91,9 +91,9 @@
 	e.step(now)
 }
 
-// Claimed takes a coordinator's claims: what runs goes on for it, what doesn't is
+// HandleClaims takes a coordinator's claims: what runs goes on for it, what doesn't is
 // reported as gone.
-func (e *Executor) Claimed(now time.Duration, c Claims) {
+func (e *Executor) HandleClaims(now time.Duration, c Claims) {
 	w := e.workers[c.Worker]
 	if w == nil || w.phase != claiming && w.phase != held {
 		for _, t := range c.Tasks {
@@ -115,7 +115,7 @@
 		e.report(owner, task.Report{ID: t.ID, Run: t.Run, Outcome: w.heldOutcome(t), Worker: w.info.ID, Reason: "not_listed"})
 		return
 	}
-	if r.task != nil && (r.owner == owner && r.orphanedAt == 0 || !t.Kept) {
+	if r.task != nil && (r.owner == owner && r.orphanedAt == 0 || !t.Durable) {
 		return
 	}
 	w.remove(r)
--- a/executor/tenure.go
+++ b/executor/tenure.go
@@ -13,7 +13,7 @@
 // executor is lost, the coordinator knows all workers that the task may run on.
 
 // within reports whether the task may start in the present tenure of the worker.
-func (w *worker) within(t *task.Task) bool { return t.Tenures == 0 || w.tenure <= t.Tenures }
+func (w *worker) within(t *task.Task) bool { return t.MaxEpoch == 0 || w.tenure <= t.MaxEpoch }
 
 // told reports whether coordinators are told of the worker.
 func (w *worker) told() bool { return w.phase == held || w.phase == claiming || len(w.runs) > 0 }
@@ -39,5 +39,5 @@
 
 // laterTold reports whether coordinators have been told of later tenures than the task may start in.
 func (e *Executor) laterTold(t *task.Task) bool {
-	return t.Tenures > 0 && t.Tenures < e.tenures && len(e.out.Takeovers) == 0
+	return t.MaxEpoch > 0 && t.MaxEpoch < e.tenures && len(e.out.Takeovers) == 0
 }
--- a/fleet/cells.go
+++ b/fleet/cells.go
@@ -35,8 +35,8 @@
 	bits int
 }
 
-// Fit returns the cells for a number of daemons, near the present ones.
-func (c Cells) Fit(daemons int) Cells {
+// ResizedFor returns the cells for a number of daemons, near the present ones.
+func (c Cells) ResizedFor(daemons int) Cells {
 	for c.bits < maxCellBits && daemons > maxUndivided && daemons > maxCell<<c.bits {
 		c.bits++
 	}
@@ -49,16 +49,16 @@
 // Count returns the number of cells.
 func (c Cells) Count() int { return 1 << c.bits }
 
-// Of returns the cell of a daemon.
-func (c Cells) Of(daemon netip.AddrPort) int {
+// CellOf returns the cell of a daemon.
+func (c Cells) CellOf(daemon netip.AddrPort) int {
 	if c.bits == 0 {
 		return 0
 	}
 	return int(xxhash.Sum64String(daemon.String()) >> (64 - c.bits))
 }
 
-// Place is where a daemon is and what it can carry.
-type Place struct {
+// DaemonInfo is where a daemon is and what it can carry.
+type DaemonInfo struct {
 	Address netip.AddrPort
 	Domain  string
 	// Weight is compared with that of others; 0 counts as 1.
@@ -71,7 +71,7 @@
 // daemons is shared by what the cells can carry in all. A worker that comes or leaves moves
 // hardly any other: what runs on a worker that changes its cell is lost to its callers, as
 // coordinators are not linked with daemons of other cells.
-func (c Cells) Workers(cell int, workers []executor.WorkerInfo, daemons []Place) []executor.WorkerInfo {
+func (c Cells) Workers(cell int, workers []executor.WorkerInfo, daemons []DaemonInfo) []executor.WorkerInfo {
 	if c.bits == 0 {
 		return workers
 	}
@@ -83,8 +83,8 @@
 			sizes = make([]float64, c.Count())
 			byDomain[d.Domain] = sizes
 		}
-		sizes[c.Of(d.Address)] += cmp.Or(d.Weight, 1)
-		total[c.Of(d.Address)] += cmp.Or(d.Weight, 1)
+		sizes[c.CellOf(d.Address)] += cmp.Or(d.Weight, 1)
+		total[c.CellOf(d.Address)] += cmp.Or(d.Weight, 1)
 	}
 	pools := make(map[string][]executor.WorkerInfo)
 	for _, w := range workers {
--- a/fleet/handover.go
+++ b/fleet/handover.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// HandoverTime is how long a worker that has come into a cell from another is left to the
+// CellHandoverDelay is how long a worker that has come into a cell from another is left to the
 // daemons of that one. They give it nothing new from when they see the change, and what runs
 // there ends; taken sooner it would be stopped, as no coordinator of this cell can claim it.
 // It covers the longest of usual tasks and the time by which the cells learn of the change
 // apart. Within a cell a worker changes its holder at once, as its runs are claimed.
-const HandoverTime = 4 * time.Second
+const CellHandoverDelay = 4 * time.Second
 
-// Stay tells whether a worker is of a cell, over time. The zero value is a worker that was not
+// CellMembership tells whether a worker is of a cell, over time. The zero value is a worker that was not
 // seen yet.
-type Stay struct {
+type CellMembership struct {
 	seen, inside bool
 	// since is when it came from another cell; 0: it has not.
 	since time.Duration
 }
 
-// See notes whether the worker is of the cell now. It reports when the cell's daemons may take
+// Update notes whether the worker is of the cell now. It reports when the cell's daemons may take
 // it; ok is false while it is of another cell.
-func (s *Stay) See(now time.Duration, inside bool) (ready time.Duration, ok bool) {
+func (s *CellMembership) Update(now time.Duration, inside bool) (ready time.Duration, ok bool) {
 	switch {
 	case !inside:
 		s.since = 0
@@ -28,7 +28,7 @@
 	}
 	s.seen, s.inside = true, inside
 	if s.since > 0 {
-		return s.since + HandoverTime, inside
+		return s.since + CellHandoverDelay, inside
 	}
 	return now, inside
 }
--- a/fleet/pace.go
+++ b/fleet/pace.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// FastestHeartbeat is the interval of heartbeats in a small fleet.
-	FastestHeartbeat = 100 * time.Millisecond
+	// MinHeartbeatInterval is the interval of heartbeats in a small fleet.
+	MinHeartbeatInterval = 100 * time.Millisecond
 	// slowestHeartbeat bounds the interval. A peer's silence is noticed by heartbeats that
 	// were not echoed, which takes two intervals when all is well; with 200 ms there is more
 	// than that left until the peer counts as lost.
@@ -19,5 +19,5 @@
 // grows with their number, so that what a daemon spends on heartbeats doesn't. Where peers
 // are many, older news of their room costs nothing: some of them have room in any case.
 func HeartbeatInterval(peers int) time.Duration {
-	return min(max(time.Duration(peers)*time.Second/heartbeatsPerSecond, FastestHeartbeat), slowestHeartbeat)
+	return min(max(time.Duration(peers)*time.Second/heartbeatsPerSecond, MinHeartbeatInterval), slowestHeartbeat)
 }
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -95,7 +95,7 @@
 				log.WithFields(logrus.Fields{"event": "settings_invalid", "error": err}).Error("the settings in force stay")
 				continue
 			}
-			n.Seeds(s.Seeds)
+			n.AddSeeds(s.Seeds)
 			log.WithFields(logrus.Fields{"event": "settings_reloaded", "seeds": len(s.Seeds)}).Info()
 		}
 	}
@@ -110,14 +110,14 @@
 
 func newNode(s platform.Settings, c schema.NodeSettings, log *logrus.Logger, q *logging.Queue) (*node.Node, error) {
 	n, err := node.New(node.Config{
-		Name: s.Name, Domain: s.Domain, Cores: s.Cores, Mbps: s.LinkMbps, FirstStart: s.FirstStart, Address: s.Control, Listen: c.PeerListen, Seeds: s.Seeds, FeedPort: s.Feed.Port(),
+		Name: s.Name, Domain: s.Domain, Cores: s.Cores, LinkMbps: s.LinkMbps, FirstStart: s.FirstStart, Address: s.Control, Listen: c.PeerListen, Seeds: s.Seeds, FeedPort: s.Feed.Port(),
 		Lease: min(c.Lease, s.Lease), MaxLease: s.Lease, StopWithin: s.StopWithin, EntryTTL: max(c.EntryTtl, s.MinStoreLease),
 		StopDelay: c.StopDelay, StopTimeout: c.StopTimeout, StoreWrites: s.StoreWrites, Retention: s.Retention,
 	}, platform.Connect(s), log)
 	if err != nil {
 		return nil, err
 	}
-	n.Gauge("log_lines_left_out", func() float64 { return float64(q.Left()) })
+	n.PublishGauge("log_lines_left_out", func() float64 { return float64(q.Left()) })
 	return n, nil
 }
 
--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -26,8 +26,8 @@
 	onPause func(late time.Duration)
 	// onBorrow and onGiveBack carry messages about slots to peers.
 	onBorrow   func(sched.Borrow)
-	onGiveBack func(sched.GiveBack)
-	onHint     func(sched.Hint)
+	onGiveBack func(sched.ReturnSlots)
+	onHint     func(sched.FreeSlotsHint)
 
 	mu    sync.Mutex
 	sched *sched.Scheduler
@@ -93,8 +93,8 @@
 		metrics:    m,
 		onLeaving:  func(string) {},
 		onBorrow:   func(sched.Borrow) {},
-		onGiveBack: func(sched.GiveBack) {},
-		onHint:     func(sched.Hint) {},
+		onGiveBack: func(sched.ReturnSlots) {},
+		onHint:     func(sched.FreeSlotsHint) {},
 		sched:      sched.New(s),
 		jobs:       make(map[sched.JobKey]*jobRun),
 		calls:      make(map[callKey]context.CancelFunc),
@@ -156,14 +156,14 @@
 func (d *dispatcher) runningOn() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.sched.RunningOn()
+	return d.sched.RunningByWorker()
 }
 
 // kindDemand counts the running and waiting tasks by kind.
 func (d *dispatcher) kindDemand() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.sched.KindDemand()
+	return d.sched.DemandByKind()
 }
 
 // step runs one event under the lock and carries out the commands that follow.
@@ -194,7 +194,7 @@
 		return
 	}
 	d.holds++
-	d.sched.Hold()
+	d.sched.PauseStarts()
 	go d.onPause(late)
 }
 
@@ -203,7 +203,7 @@
 	d.step(func(now time.Duration) {
 		d.holds--
 		if d.holds == 0 {
-			d.sched.Release(now)
+			d.sched.ResumeStarts(now)
 		}
 	})
 }
@@ -238,7 +238,7 @@
 	for _, b := range r.Borrows {
 		go d.onBorrow(b)
 	}
-	for _, g := range r.GiveBacks {
+	for _, g := range r.Returns {
 		go d.onGiveBack(g)
 	}
 	for _, h := range r.Hints {
@@ -281,7 +281,7 @@
 		if failure == nil && d.jobs[st.Job] == j {
 			failure = j.keep(st.Task, res.Body)
 		}
-		d.sched.Done(now, st, sched.Outcome{Failure: failure, Leaving: res.Leaving})
+		d.sched.HandleOutcome(now, st, sched.Outcome{Failure: failure, Leaving: res.Leaving})
 	})
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -123,7 +123,7 @@
 	e.members = e.newMembership(process)
 	e.workers = &workers{
 		clock: e.clock, state: e.state, members: e.members, dispatcher: d, client: e.backend,
-		domain: e.settings.Domain, leaving: member.NewLeaving(),
+		domain: e.settings.Domain, leaving: member.NewLeavingWorkers(),
 	}
 	e.loans = &loans{self: process, client: e.client, members: e.members, dispatcher: d, metrics: e.metrics}
 	d.onBorrow, d.onGiveBack, d.onHint = e.loans.borrow, e.loans.giveBack, e.loans.hint
@@ -162,7 +162,7 @@
 			Timeout:       e.settings.PeerTimeout,
 			RemoteTimeout: cmp.Or(e.settings.RemotePeerTimeout, e.settings.PeerTimeout),
 		}),
-		pace: member.NewPace(member.PaceConfig{
+		pace: member.NewHeartbeatSchedule(member.HeartbeatScheduleConfig{
 			Domain:         e.settings.Domain,
 			Interval:       e.settings.HeartbeatInterval,
 			RemoteInterval: cmp.Or(e.settings.RemoteHeartbeatInterval, e.settings.HeartbeatInterval),
@@ -224,7 +224,7 @@
 	h.ConfigRevision = e.state.config().Revision()
 	h.VmListVersion = e.state.vmList().GetVersion()
 	load := e.workers.dispatcher.load()
-	h.FreeSlots, h.WantedSlots = uint32(load.Lendable), uint32(load.Wanted)
+	h.FreeSlots, h.WantedSlots = uint32(load.Lendable), uint32(load.MissingSlots)
 	h.Leaving = e.workers.leavingList()
 	e.quotas.fill(h)
 }
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -95,7 +95,7 @@
 // is final: an owner that is cut off, or the holder of its answers, may tell the one
 // true ending to another caller.
 func (r *router) unanswered(owner, holder member.Process, id submission.ID, c call) reply {
-	if r.members.liveness(holder, id.Minted) == member.Replaced || r.members.liveness(owner, id.Minted) == member.Expired {
+	if r.members.liveness(holder, id.MintedAt) == member.Replaced || r.members.liveness(owner, id.MintedAt) == member.Expired {
 		return r.ownerGone(c)
 	}
 	return r.unreachable(c)
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -86,7 +86,7 @@
 		Process: submission.Process{Owner: h.members.self.Address, Incarnation: h.members.self.Incarnation},
 		Clock:   now,
 		Window:  h.submissions.window,
-		Keep:    h.members.settle(),
+		KeepFor: h.members.settle(),
 	})
 	out := make([]*schema.StoppedProcess, len(all))
 	for i, p := range all {
@@ -95,7 +95,7 @@
 			Incarnation: p.Process.Incarnation,
 			ClockMs:     p.Clock.Milliseconds() + 1, // rounded up: an earlier clock would be believed for too long
 			WindowMs:    p.Window.Milliseconds(),
-			KeepMs:      p.Keep.Milliseconds(),
+			KeepMs:      p.KeepFor.Milliseconds(),
 		}
 	}
 	return out
@@ -104,14 +104,14 @@
 // ended returns the kept answers.
 func (h *handover) ended(now time.Duration) []*schema.EndedSubmission {
 	var all []*schema.EndedSubmission
-	h.submissions.table.Ended(now, func(r *submission.Record, keep time.Duration) {
-		e := r.Ending()
+	h.submissions.table.EachEnded(now, func(r *submission.Record, keep time.Duration) {
+		e := r.Response()
 		if len(e.Body) > peer.MaxMessage/2 {
 			// It can't be sent. Without a record the successor would say that nothing
 			// started.
 			f := verdict.New(verdict.MayHaveRun, verdict.IdentifierExpired, "the answer was too large to be kept when its entry stopped")
 			body, _ := json.Marshal(failedAnswer(r.ID, f, false)) // plain strings always encode
-			e = submission.Ending{Status: statusOf(f), Body: body}
+			e = submission.Response{Status: statusOf(f), Body: body}
 		}
 		all = append(all, &schema.EndedSubmission{
 			Id:           r.ID,
@@ -165,12 +165,12 @@
 func (h *handover) adopt(s *schema.EndedSubmission, now time.Duration) {
 	var d submission.Digest
 	copy(d[:], s.GetBodyDigest())
-	e := submission.Ending{
+	e := submission.Response{
 		Status:     int(s.GetStatus()),
 		Body:       s.GetAnswer(),
 		RetryAfter: time.Duration(s.GetRetryAfterMs()) * time.Millisecond,
 	}
-	h.submissions.table.Adopt(s.GetId(), s.GetTeam(), d, e, time.Duration(s.GetKeepMs())*time.Millisecond, now)
+	h.submissions.table.TakeOver(s.GetId(), s.GetTeam(), d, e, time.Duration(s.GetKeepMs())*time.Millisecond, now)
 }
 
 func (h *handover) takeStopped(p *schema.StoppedProcess, last bool, now time.Duration) {
@@ -182,7 +182,7 @@
 		Process: submission.Process{Owner: address, Incarnation: p.GetIncarnation()},
 		Clock:   time.Duration(p.GetClockMs()) * time.Millisecond,
 		Window:  time.Duration(p.GetWindowMs()) * time.Millisecond,
-		Keep:    time.Duration(p.GetKeepMs()) * time.Millisecond,
+		KeepFor: time.Duration(p.GetKeepMs()) * time.Millisecond,
 	}
 	h.predecessors.Add(stopped, last, now)
 	if !last {
@@ -191,6 +191,6 @@
 	h.metrics.count("handovers", "result", "taken")
 	h.log.WithFields(logrus.Fields{"event": "took_over", "from": address}).Info("answers of a stopped entry taken over")
 	h.members.with(func(v *member.View) {
-		v.SetSuccessor(now, member.Process{Address: address, Incarnation: p.GetIncarnation()}, h.members.self, stopped.Keep)
+		v.SetSuccessor(now, member.Process{Address: address, Incarnation: p.GetIncarnation()}, h.members.self, stopped.KeepFor)
 	})
 }
--- a/internal/entry/loans.go
+++ b/internal/entry/loans.go
@@ -55,7 +55,7 @@
 }
 
 // hint lets a peer that lacks slots know of free ones, by an early heartbeat.
-func (l *loans) hint(h sched.Hint) {
+func (l *loans) hint(h sched.FreeSlotsHint) {
 	to, err := netip.ParseAddrPort(h.Peer.Address)
 	if err != nil {
 		return
@@ -77,11 +77,11 @@
 	}}})
 	answer := loanAnswer(reply)
 	l.metrics.count("borrows", "result", borrowResult(answer))
-	l.dispatcher.step(func(now time.Duration) { l.dispatcher.sched.Borrowed(now, b, answer) })
+	l.dispatcher.step(func(now time.Duration) { l.dispatcher.sched.HandleLendReply(now, b, answer) })
 }
 
 // giveBack returns idle slots to a peer and learns what it has free.
-func (l *loans) giveBack(g sched.GiveBack) {
+func (l *loans) giveBack(g sched.ReturnSlots) {
 	l.metrics.message("give_back")
 	back := &schema.GiveBack{Borrower: l.self.Address.String(), Incarnation: l.self.Incarnation}
 	for _, part := range g.Loans {
@@ -115,7 +115,7 @@
 	borrowFailed     = "failed"
 )
 
-func borrowResult(answer *sched.Loan) string {
+func borrowResult(answer *sched.LendReply) string {
 	switch {
 	case answer == nil:
 		return borrowFailed
@@ -125,11 +125,11 @@
 	return borrowGotSlots
 }
 
-func loanAnswer(m *schema.Loan) *sched.Loan {
+func loanAnswer(m *schema.Loan) *sched.LendReply {
 	if m == nil {
 		return nil
 	}
-	return &sched.Loan{Loan: loanFrom(m), Extended: loanIDs(m.GetExtended()), Recalled: loanIDs(m.GetRecalled()), Free: int(m.GetFreeSlots())}
+	return &sched.LendReply{Loan: loanFrom(m), Extended: loanIDs(m.GetExtended()), Recalled: loanIDs(m.GetRecalled()), Free: int(m.GetFreeSlots())}
 }
 
 func loanFrom(m *schema.Loan) slot.Loan {
@@ -173,7 +173,7 @@
 		Needs:    resources(m.GetNeeds()),
 		Extend:   loanIDs(m.GetExtend()),
 	}
-	var answer sched.Loan
+	var answer sched.LendReply
 	l.dispatcher.step(func(now time.Duration) { answer = l.dispatcher.sched.Lend(now, r) })
 	return &schema.Loan{
 		Loan:      uint64(answer.ID),
@@ -193,7 +193,7 @@
 	}
 	free := 0
 	l.dispatcher.step(func(now time.Duration) {
-		l.dispatcher.sched.TakeBack(now, borrower, parts)
+		l.dispatcher.sched.HandleReturn(now, borrower, parts)
 		free = l.dispatcher.sched.Load(now).Lendable
 	})
 	return &schema.Loan{FreeSlots: uint32(free)}
--- a/internal/entry/membership.go
+++ b/internal/entry/membership.go
@@ -39,7 +39,7 @@
 
 	mu   sync.Mutex
 	view *member.View
-	pace *member.Pace
+	pace *member.HeartbeatSchedule
 	// handedBack is set once this entry, which is stopping, needs its slots no more.
 	handedBack bool
 	// lastBeat is the time of the latest beat, by which a pause is noticed.
@@ -125,20 +125,20 @@
 		return
 	}
 	p := member.Peer{
-		Address:        address,
-		Incarnation:    h.GetIncarnation(),
-		Domain:         h.GetDomain(),
-		Stopping:       h.GetStopping(),
-		FreeSlots:      int(h.GetFreeSlots()),
-		ConfigRevision: h.GetConfigRevision(),
-		VMListVersion:  h.GetVmListVersion(),
-		Clock:          time.Duration(h.GetClockMs()) * time.Millisecond,
-		Settle:         time.Duration(h.GetSettleMs()) * time.Millisecond,
+		Address:            address,
+		Incarnation:        h.GetIncarnation(),
+		Domain:             h.GetDomain(),
+		Stopping:           h.GetStopping(),
+		FreeSlots:          int(h.GetFreeSlots()),
+		ConfigRevision:     h.GetConfigRevision(),
+		VMListVersion:      h.GetVmListVersion(),
+		Clock:              time.Duration(h.GetClockMs()) * time.Millisecond,
+		IdentifierLifetime: time.Duration(h.GetSettleMs()) * time.Millisecond,
 	}
 	m.mu.Lock()
 	restarted := m.view.Peer(address) == nil || m.view.Peer(address).Incarnation != p.Incarnation
-	changed := m.view.Heard(m.clock.Now(), p)
-	m.pace.Exchanged(m.clock.Now(), address)
+	changed := m.view.HandleHeartbeat(m.clock.Now(), p)
+	m.pace.HandleExchange(m.clock.Now(), address)
 	for _, s := range h.GetSuccessors() {
 		m.takeSuccessor(s)
 	}
@@ -192,7 +192,7 @@
 	m.with(func(v *member.View) {
 		now := m.clock.Now()
 		if late := now - m.lastBeat - m.interval; m.lastBeat != 0 && late > clock.PauseLimit {
-			v.Paused(now, late)
+			v.HandlePause(now, late)
 		}
 		m.lastBeat = now
 		changed = v.Tick(now)
@@ -211,7 +211,7 @@
 	var candidates []netip.AddrPort
 	m.with(func(v *member.View) {
 		candidates = v.Candidates()
-		m.pace.Keep(candidates)
+		m.pace.RemoveUnlisted(candidates)
 		if wanted != nil {
 			candidates = slices.DeleteFunc(candidates, func(a netip.AddrPort) bool { return !wanted(a) })
 		}
@@ -240,7 +240,7 @@
 	for {
 		m.announce(ctx)
 		fresh := false
-		m.with(func(v *member.View) { fresh = v.HeardSince(begin) })
+		m.with(func(v *member.View) { fresh = v.AllHeardSince(begin) })
 		if fresh || !clock.Sleep(ctx, refreshPause) {
 			return
 		}
@@ -292,7 +292,7 @@
 	m.metrics.message("heartbeat")
 	reply, failure := m.client.Call(ctx, to, &schema.Request{Body: &schema.Request_Heartbeat{Heartbeat: h}})
 	if failure != nil {
-		m.with(func(*member.View) { m.pace.Failed(m.clock.Now(), to) })
+		m.with(func(*member.View) { m.pace.HandleFailure(m.clock.Now(), to) })
 		return
 	}
 	if back := reply.GetHeartbeat(); back != nil {
--- a/internal/entry/quotas.go
+++ b/internal/entry/quotas.go
@@ -60,7 +60,7 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	f := q.limiter.Take(q.clock.Now(), team, tasks)
+	f := q.limiter.Admit(q.clock.Now(), team, tasks)
 	if f != nil {
 		q.metrics.refused(f.Reason)
 	}
@@ -111,7 +111,7 @@
 func told(m map[string]*quota.Demand) map[string]uint32 {
 	out := make(map[string]uint32, len(m))
 	for name, d := range m {
-		if n := uint32(d.Told() + 0.5); n > 0 {
+		if n := uint32(d.Reported() + 0.5); n > 0 {
 			out[name] = n
 		}
 	}
@@ -124,7 +124,7 @@
 	doc := q.state.config().Document()
 	running := q.dispatcher.kindDemand()
 	q.mu.Lock()
-	offered := q.limiter.Offered()
+	offered := q.limiter.CollectDemand()
 	maps.DeleteFunc(q.teams, func(name string, _ *quota.Demand) bool { return doc.GetTeams()[name] == nil })
 	maps.DeleteFunc(q.kinds, func(name string, _ *quota.Demand) bool { return doc.GetKinds()[name] == nil })
 	for name, t := range doc.GetTeams() {
@@ -160,13 +160,13 @@
 	for name, t := range doc.GetTeams() {
 		if limit := t.GetStartsPerSecond(); limit > 0 {
 			demand := func(d demands) uint32 { return d.teams[name] }
-			shares[name] = quota.Share(float64(limit), q.with(view, own(q.teams[name]), demand))
+			shares[name] = quota.RateShare(float64(limit), q.with(view, own(q.teams[name]), demand))
 		}
 	}
 	for name, k := range doc.GetKinds() {
 		if limit := k.GetMaxRunning(); limit > 0 {
 			demand := func(d demands) uint32 { return d.kinds[name] }
-			limits[name] = quota.Slots(int(limit), q.with(view, own(q.kinds[name]), demand))
+			limits[name] = quota.TaskShare(int(limit), q.with(view, own(q.kinds[name]), demand))
 		}
 	}
 	q.limiter.SetShares(q.clock.Now(), shares)
@@ -178,7 +178,7 @@
 	if d == nil {
 		return 0
 	}
-	return d.Own()
+	return d.Delayed()
 }
 
 // view returns the live entries, this one first, without demand.
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -74,7 +74,7 @@
 	if rec := r.submissions.table.Get(c.id); rec != nil && rec.Team == c.team {
 		return r.answer(ctx, rec, c)
 	}
-	if r.predecessors.Has(id.Process()) {
+	if r.predecessors.Complete(id.Process()) {
 		return r.inherited(ctx, id, c)
 	}
 	if c.forwarded {
@@ -94,7 +94,7 @@
 		return r.answer(ctx, rec, c)
 	}
 	if r.predecessors.NeverStarted(id, r.clock.Now()) {
-		return r.refuse(c.id, submission.NeverStarted())
+		return r.refuse(c.id, submission.FailureNeverStarted())
 	}
 	return r.refuse(c.id, verdict.New(verdict.MayHaveRun, verdict.IdentifierExpired, "the identifier has expired and its answer, if there was one, is no longer kept"))
 }
@@ -127,7 +127,7 @@
 // unused answers a GET of an identifier without a record. Within the window it is not
 // final: the PUT may still be on its way.
 func (r *router) unused(id submission.ID, c call) reply {
-	if r.clock.Now() <= id.Minted+r.submissions.window {
+	if r.clock.Now() <= id.MintedAt+r.submissions.window {
 		r.metrics.refused(verdict.IdentifierUnknown)
 		return pending(c.id, http.StatusNotFound, verdict.IdentifierUnknown,
 			"nothing was submitted under this identifier yet; send the job with PUT, or DELETE it so that it never runs")
@@ -149,7 +149,7 @@
 	}
 	select {
 	case <-rec.Done():
-		return ended(rec.Ending())
+		return ended(rec.Response())
 	default:
 		return pending(c.id, http.StatusAccepted, "", "the submission is still running; ask again")
 	}
@@ -164,7 +164,7 @@
 	return ended(e)
 }
 
-func ended(e submission.Ending) reply {
+func ended(e submission.Response) reply {
 	return reply{status: e.Status, retryAfter: e.RetryAfter, body: e.Body}
 }
 
--- a/internal/entry/workers.go
+++ b/internal/entry/workers.go
@@ -28,7 +28,7 @@
 	updating sync.Mutex
 
 	mu      sync.Mutex
-	leaving *member.Leaving
+	leaving *member.LeavingWorkers
 }
 
 // update recomputes the list.
@@ -79,7 +79,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.leaving.List(w.clock.Now(), l.GetVersion(), listed)
+	w.leaving.ApplyVMList(w.clock.Now(), l.GetVersion(), listed)
 }
 
 func (w *workers) isLeaving(address string) bool {
@@ -109,7 +109,7 @@
 	w.mu.Lock()
 	changed := false
 	for _, l := range list {
-		if w.leaving.Notice(w.clock.Now(), l.GetAddress(), time.Duration(l.GetAgeMs())*time.Millisecond) {
+		if w.leaving.Add(w.clock.Now(), l.GetAddress(), time.Duration(l.GetAgeMs())*time.Millisecond) {
 			changed = true
 		}
 	}
--- a/internal/load/fleet.go
+++ b/internal/load/fleet.go
@@ -66,7 +66,7 @@
 
 // plannedDaemon is a daemon of a fleet that is worked out.
 type plannedDaemon struct {
-	fleet.Place
+	fleet.DaemonInfo
 	mbps float64
 }
 
@@ -85,15 +85,15 @@
 	for i := range workers {
 		workers[i] = executor.WorkerInfo{ID: fmt.Sprintf("worker-%d", i), Domain: fmt.Sprint(i % int(p.Domains))}
 	}
-	cells := fleet.Cells{}.Fit(n)
+	cells := fleet.Cells{}.ResizedFor(n)
 	r := schema.FleetReport{Daemons: int32(n), Workers: int32(len(workers)), Cells: int32(cells.Count())}
 	var sizes, shares, held, beats []float64
-	var readers []registry.Reader
+	var readers []registry.Relay
 	links := make(map[netip.AddrPort]float64)
 	for cell := range cells.Count() {
 		var members []plannedDaemon
 		for _, d := range daemons {
-			if cells.Of(d.Address) == cell {
+			if cells.CellOf(d.Address) == cell {
 				members = append(members, d)
 			}
 		}
@@ -111,7 +111,7 @@
 	}
 	roots := readers
 	if cells.Count() > 1 {
-		roots = registry.Roots(readers)
+		roots = registry.SelectRootRelays(readers)
 	}
 	narrowest := math.Inf(1)
 	for _, root := range roots {
@@ -140,7 +140,7 @@
 }
 
 // plannedDaemons are daemons of all kinds of machines in all failure domains.
-func plannedDaemons(p schema.FleetProfile, n int) (list []plannedDaemon, places []fleet.Place) {
+func plannedDaemons(p schema.FleetProfile, n int) (list []plannedDaemon, places []fleet.DaemonInfo) {
 	domains, kind, before := int(p.Domains), 0, 0.0
 	for i := range n {
 		// Kinds one after the other, so that each domain has its part of each.
@@ -148,11 +148,11 @@
 			before += p.Machines[kind].Share
 			kind++
 		}
-		d := plannedDaemon{mbps: p.Machines[kind].Mbps, Place: fleet.Place{
+		d := plannedDaemon{mbps: p.Machines[kind].Mbps, DaemonInfo: fleet.DaemonInfo{
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i % domains), byte(i / domains / 250), byte(1 + i/domains%250)}), 8000),
 			Domain:  fmt.Sprint(i % domains), Weight: p.Machines[kind].Cores,
 		}}
-		list, places = append(list, d), append(places, d.Place)
+		list, places = append(list, d), append(places, d.DaemonInfo)
 	}
 	return list, places
 }
@@ -174,16 +174,16 @@
 }
 
 // readersOf are those daemons of a cell that read for all.
-func readersOf(members []plannedDaemon, divided bool) []registry.Reader {
-	var able []registry.Reader
+func readersOf(members []plannedDaemon, divided bool) []registry.Relay {
+	var able []registry.Relay
 	for _, m := range members {
-		able = append(able, registry.Reader{Process: member.Process{Address: m.Address}, Domain: m.Domain, Weight: m.Weight})
+		able = append(able, registry.Relay{Process: member.Process{Address: m.Address}, Domain: m.Domain, Weight: m.Weight})
 	}
-	if !registry.Relayed(len(members)-1, divided) {
+	if !registry.UsesRelays(len(members)-1, divided) {
 		return able
 	}
-	chosen := registry.Readers(able)
-	return slices.DeleteFunc(able, func(r registry.Reader) bool { return !slices.Contains(chosen, r.Process) })
+	chosen := registry.SelectRelays(able)
+	return slices.DeleteFunc(able, func(r registry.Relay) bool { return !slices.Contains(chosen, r.Process) })
 }
 
 func rangeOf(list []float64) schema.FleetRange {
--- a/internal/mesh/incoming.go
+++ b/internal/mesh/incoming.go
@@ -14,7 +14,7 @@
 	first := true
 	for {
 		// A sender pulses; without a deadline a silent connection would stay for ever.
-		_ = c.SetReadDeadline(time.Now().Add(2 * LostAfter))
+		_ = c.SetReadDeadline(time.Now().Add(2 * PeerTimeout))
 		f, err := readFrame(r)
 		if err == nil && f.GetPulse() != nil {
 			err = before.complete(f.GetPulse())
@@ -52,7 +52,7 @@
 		if up {
 			l.mesh.handler.PeerUp(p)
 		}
-		l.mesh.handler.Pulsed(p, pulse)
+		l.mesh.handler.HandleHeartbeat(p, pulse)
 		return true
 	}
 	fresh := f.GetNumber() == l.arrived+1
@@ -62,7 +62,7 @@
 	}
 	l.mu.Unlock()
 	if fresh {
-		l.mesh.handler.Received(p, f)
+		l.mesh.handler.HandleFrame(p, f)
 	}
 	return true
 }
--- a/internal/mesh/link.go
+++ b/internal/mesh/link.go
@@ -349,9 +349,9 @@
 	return own + l.interval + redialSlack - silent
 }
 
-// checkSilence counts a peer as lost that has not echoed for LostAfter.
+// checkSilence counts a peer as lost that has not echoed for PeerTimeout.
 func (l *link) checkSilence() {
-	if _, up := l.peerIfUp(); up && l.silentFor() > LostAfter {
+	if _, up := l.peerIfUp(); up && l.silentFor() > PeerTimeout {
 		l.lose(false)
 	}
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -25,9 +25,9 @@
 	// writeTimeout bounds a greeting and each write: a peer that reads nothing, or a link
 	// that is cut, must not hold up the look at its silence.
 	writeTimeout = 400 * time.Millisecond
-	// LostAfter is the silence after which a peer counts as lost. What ran for it is
+	// PeerTimeout is the silence after which a peer counts as lost. What ran for it is
 	// stopped then, which has to be over before its callers submit again.
-	LostAfter = 900 * time.Millisecond
+	PeerTimeout = 900 * time.Millisecond
 	// redialPause is the pause between attempts to reach a peer.
 	redialPause = 100 * time.Millisecond
 	// forgetAfter is how long a lost peer is dialed that nothing names any more.
@@ -38,9 +38,9 @@
 	// waits up to dialTimeout for our side of the link after it is back, and then lets
 	// callers wait for workers.
 	staleDial = 20 * time.Millisecond
-	// YoungFor is how long a process counts as one that has just started. Daemons that lost
+	// StartingPeriod is how long a process counts as one that has just started. Daemons that lost
 	// power together are back within 0.3 s of each other.
-	YoungFor = time.Second
+	StartingPeriod = time.Second
 	// maxFrame bounds one frame in bytes.
 	maxFrame = 8 << 20
 )
@@ -59,15 +59,15 @@
 type Handler interface {
 	// PeerUp tells that messages pass both ways.
 	PeerUp(p Peer)
-	// PeerLost tells that the peer can't be reached; gone, that its process is proved over.
-	PeerLost(p Peer, gone bool)
-	// Received takes a numbered frame.
-	Received(p Peer, f *schema.Frame)
-	// Pulsed takes a heartbeat.
-	Pulsed(p Peer, pulse *schema.Pulse)
-	// Pulse returns the heartbeat to send now, in full. Its NextMs names the time to the
-	// next one, which all peers are to be told of within LostAfter.
-	Pulse() *schema.Pulse
+	// PeerUnreachable tells that the peer can't be reached; gone, that its process is proved over.
+	PeerUnreachable(p Peer, gone bool)
+	// HandleFrame takes a numbered frame.
+	HandleFrame(p Peer, f *schema.Frame)
+	// HandleHeartbeat takes a heartbeat.
+	HandleHeartbeat(p Peer, pulse *schema.Pulse)
+	// Heartbeat returns the heartbeat to send now, in full. Its NextMs names the time to the
+	// next one, which all peers are to be told of within PeerTimeout.
+	Heartbeat() *schema.Pulse
 }
 
 // Mesh is a daemon's end of all links.
@@ -106,7 +106,7 @@
 			MilliCores: uint32(self.Weight * 1000),
 		},
 		address: self.Address, handler: h, listener: l, started: time.Now(),
-		dialer: tcp.Dialer(dialTimeout, LostAfter),
+		dialer: tcp.Dialer(dialTimeout, PeerTimeout),
 		links:  make(map[netip.AddrPort]*link),
 	}
 	m.ctx, m.cancel = context.WithCancel(context.Background())
@@ -128,16 +128,16 @@
 	m.wg.Wait()
 }
 
-// Know adds daemons that may be linked, by address.
-func (m *Mesh) Know(addresses ...netip.AddrPort) {
+// AddPeers adds daemons that may be linked, by address.
+func (m *Mesh) AddPeers(addresses ...netip.AddrPort) {
 	for _, a := range addresses {
 		m.link(a).named()
 	}
 }
 
-// Reset ends the sessions of all links: what was sent in them and is still on its way is
+// ResetSessions ends the sessions of all links: what was sent in them and is still on its way is
 // dropped on both sides.
-func (m *Mesh) Reset() {
+func (m *Mesh) ResetSessions() {
 	m.mu.Lock()
 	links := make([]*link, 0, len(m.links))
 	for _, l := range m.links {
@@ -149,9 +149,9 @@
 	}
 }
 
-// Restrict links only daemons for which linked is true from now on. Links to others end,
+// RestrictPeers links only daemons for which linked is true from now on. Links to others end,
 // as if their processes were gone.
-func (m *Mesh) Restrict(linked func(netip.AddrPort) bool) {
+func (m *Mesh) RestrictPeers(linked func(netip.AddrPort) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.linked = linked
@@ -185,8 +185,8 @@
 	return list
 }
 
-// Settled reports whether each known peer is up or was found not to answer.
-func (m *Mesh) Settled() bool {
+// AllPeersTried reports whether each known peer is up or was found not to answer.
+func (m *Mesh) AllPeersTried() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range m.links {
@@ -241,7 +241,7 @@
 	stop := context.AfterFunc(m.ctx, func() { c.Close() })
 	defer stop()
 	r := bufio.NewReader(c)
-	_ = c.SetDeadline(time.Now().Add(LostAfter))
+	_ = c.SetDeadline(time.Now().Add(PeerTimeout))
 	hello, err := readHello(r)
 	if err != nil {
 		return
@@ -263,14 +263,14 @@
 func (m *Mesh) greeting(session uint64) *schema.Identity {
 	return &schema.Identity{
 		Address: m.self.Address, Incarnation: m.self.Incarnation, Name: m.self.Name, Domain: m.self.Domain,
-		MilliCores: m.self.MilliCores, Session: session, Young: time.Since(m.started) < YoungFor,
+		MilliCores: m.self.MilliCores, Session: session, Young: time.Since(m.started) < StartingPeriod,
 	}
 }
 
-// MetElder reports whether a peer that has not just started has answered a greeting or sent
+// MetEstablishedPeer reports whether a peer that has not just started has answered a greeting or sent
 // one: the fleet was there before this process. It is known a round trip after the dial,
 // long before the link is up.
-func (m *Mesh) MetElder() bool {
+func (m *Mesh) MetEstablishedPeer() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range m.links {
--- a/internal/mesh/pulse.go
+++ b/internal/mesh/pulse.go
@@ -53,7 +53,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.latest == nil || time.Since(c.built) >= pulseFresh {
-		c.take(h.Pulse())
+		c.take(h.Heartbeat())
 	}
 	b, ok := c.encoded[has]
 	if !ok {
--- a/internal/mesh/session.go
+++ b/internal/mesh/session.go
@@ -40,7 +40,7 @@
 
 func (l *link) tellLost(p *Peer, gone bool) {
 	if p != nil {
-		l.mesh.handler.PeerLost(*p, gone)
+		l.mesh.handler.PeerUnreachable(*p, gone)
 	}
 }
 
--- a/internal/node/cellfeed.go
+++ b/internal/node/cellfeed.go
@@ -74,7 +74,7 @@
 func (f *cellFeed) Watch(ctx context.Context, after int64, wait time.Duration) (registry.Changes, error) {
 	if g := f.ask(ctx, after, wait); g != nil {
 		if g.GetComplete() {
-			return registry.Changes{}, registry.ErrForgotten
+			return registry.Changes{}, registry.ErrCompacted
 		}
 		return registry.Changes{Items: itemsOf(g.GetEntries()), Revision: max(g.GetRevision(), after)}, nil
 	}
@@ -175,9 +175,9 @@
 		return nil
 	}
 	places := f.places(n.self)
-	roots := registry.Roots(cellReaders(f.cells, places))
-	self := registry.Reader{Process: n.self.Process, Domain: n.self.Domain, Weight: n.self.Weight}
-	for _, r := range registry.Preference(self, roots) {
+	roots := registry.SelectRootRelays(cellReaders(f.cells, places))
+	self := registry.Relay{Process: n.self.Process, Domain: n.self.Domain, Weight: n.self.Weight}
+	for _, r := range registry.RankRootRelays(self, roots) {
 		if r.Address == n.self.Address {
 			return nil
 		}
@@ -187,14 +187,14 @@
 }
 
 // cellReaders are the daemons that read for their cells, by the list of daemons.
-func cellReaders(c fleet.Cells, places []fleet.Place) (all []registry.Reader) {
-	byCell := make([][]registry.Reader, c.Count())
+func cellReaders(c fleet.Cells, places []fleet.DaemonInfo) (all []registry.Relay) {
+	byCell := make([][]registry.Relay, c.Count())
 	for _, p := range places {
-		r := registry.Reader{Process: member.Process{Address: p.Address}, Domain: p.Domain, Weight: p.Weight}
-		byCell[c.Of(p.Address)] = append(byCell[c.Of(p.Address)], r)
+		r := registry.Relay{Process: member.Process{Address: p.Address}, Domain: p.Domain, Weight: p.Weight}
+		byCell[c.CellOf(p.Address)] = append(byCell[c.CellOf(p.Address)], r)
 	}
 	for _, cell := range byCell {
-		chosen := registry.Readers(cell)
+		chosen := registry.SelectRelays(cell)
 		for _, r := range cell {
 			if slices.Contains(chosen, r.Process) {
 				all = append(all, r)
--- a/internal/node/clearance.go
+++ b/internal/node/clearance.go
@@ -105,7 +105,7 @@
 		c.waits[p] = true
 		n.askClearance(now, p, coordinator)
 	}
-	if n.coordinator.EndingAt(p) {
+	if n.coordinator.AwaitQuiescence(p) {
 		n.askClearance(now, p, n.self.Process)
 	}
 }
@@ -126,7 +126,7 @@
 // clearedBy takes an executor's word that nothing of a coordinator is there. The lock is held.
 func (n *Node) clearedBy(from, p member.Process) {
 	if p == n.self.Process {
-		n.coordinator.Cleared(from)
+		n.coordinator.HandleQuiescence(from)
 		return
 	}
 	if c := n.clearances.wanted[p]; c != nil {
@@ -164,7 +164,7 @@
 		case len(c.waits) == 0 && now >= c.overBy:
 			delete(n.clearances.wanted, p)
 			n.log.WithFields(logrus.Fields{"event": "coordinator_cleared", "coordinator": p.Address}).Info()
-			n.starts.Cleared(now, p)
+			n.starts.HandleQuiescence(now, p)
 		case now-c.askedAt >= reaskClearance:
 			n.askClearances(now, p, c)
 		}
@@ -209,9 +209,9 @@
 // a coordinator asks for what was here before it was lost.
 func (n *Node) clearOf(now time.Duration, p, by member.Process) bool {
 	if p == by && p != n.self.Process {
-		return n.executor.ClearOfLost(now, p)
+		return n.executor.QuiescentAfterReturn(now, p)
 	}
-	return !(*startView)(n).Sees(p) && n.executor.Clear(now, p)
+	return !(*startView)(n).Reachable(p) && n.executor.Quiescent(now, p)
 }
 
 func (n *Node) tellCleared(to, p member.Process, back bool) {
--- a/internal/node/convert.go
+++ b/internal/node/convert.go
@@ -43,10 +43,10 @@
 		out[i] = &schema.TaskOrder{
 			Id: idToWire(t.ID), Run: t.Run, Service: t.Service, Label: t.Label, Payload: t.Payload,
 			MilliCpu: t.Demand.MilliCPU, MemoryMb: t.Demand.MemoryMB, Gpus: t.Demand.GPUs,
-			Priority: int32(t.Priority), ExpectedMs: t.Expected.Milliseconds(),
+			Priority: int32(t.Priority), ExpectedMs: t.ExpectedRunTime.Milliseconds(),
 			StartByMs: (t.StartBy - now).Milliseconds(), DueMs: (t.Due - now).Milliseconds(), Avoid: t.Avoid,
-			Kept: t.Kept, PerWorker: uint32(t.PerWorker), OnlyNow: t.OnlyNow, Queue: t.Queue, Surplus: t.Surplus,
-			Tenures: t.Tenures,
+			Kept: t.Durable, PerWorker: uint32(t.PerWorker), OnlyNow: t.NoWait, Queue: t.Queue, Surplus: t.OverShare,
+			Tenures: t.MaxEpoch,
 		}
 	}
 	return out
@@ -58,10 +58,10 @@
 		out[i] = task.Task{
 			ID: idFromWire(t.GetId()), Run: t.GetRun(), Service: t.GetService(), Label: t.GetLabel(), Payload: t.GetPayload(),
 			Demand:   capacity.Vector{MilliCPU: t.GetMilliCpu(), MemoryMB: t.GetMemoryMb(), GPUs: t.GetGpus()},
-			Priority: int(t.GetPriority()), Expected: ms(t.GetExpectedMs()),
+			Priority: int(t.GetPriority()), ExpectedRunTime: ms(t.GetExpectedMs()),
 			StartBy: now + ms(t.GetStartByMs()), Due: now + ms(t.GetDueMs()), Avoid: t.GetAvoid(),
-			Kept: t.GetKept(), PerWorker: int(t.GetPerWorker()), OnlyNow: t.GetOnlyNow(), Queue: t.GetQueue(), Surplus: t.GetSurplus(),
-			Tenures: t.GetTenures(),
+			Durable: t.GetKept(), PerWorker: int(t.GetPerWorker()), NoWait: t.GetOnlyNow(), Queue: t.GetQueue(), OverShare: t.GetSurplus(),
+			MaxEpoch: t.GetTenures(),
 		}
 	}
 	return out
@@ -98,15 +98,15 @@
 
 func takeoverToWire(t executor.Takeover) *schema.Frame {
 	return &schema.Frame{Body: &schema.Frame_Takeover{Takeover: &schema.Takeover{
-		Worker: t.Worker, Running: runsToWire(t.Running), Ended: runsToWire(t.Ended),
-		Tenure: t.Tenure, Token: t.Token, Recalled: t.Recalled,
+		Worker: t.Worker, Running: runsToWire(t.Running), Ended: runsToWire(t.Completed),
+		Tenure: t.Epoch, Token: t.Token, Recalled: t.Reconciliation,
 	}}}
 }
 
 func takeoverFromWire(t *schema.Takeover) executor.Takeover {
 	return executor.Takeover{
-		Worker: t.GetWorker(), Running: runsFromWire(t.GetRunning()), Ended: runsFromWire(t.GetEnded()),
-		Tenure: t.GetTenure(), Token: t.GetToken(), Recalled: t.GetRecalled(),
+		Worker: t.GetWorker(), Running: runsFromWire(t.GetRunning()), Completed: runsFromWire(t.GetEnded()),
+		Epoch: t.GetTenure(), Token: t.GetToken(), Reconciliation: t.GetRecalled(),
 	}
 }
 
@@ -120,16 +120,16 @@
 		return &schema.Frame{Body: &schema.Frame_Offer{Offer: &schema.Offer{Tasks: tasksToWire(now, m.Offer)}}}
 	case m.Reclaim != nil:
 		return &schema.Frame{Body: &schema.Frame_Withdrawal{Withdrawal: &schema.Withdrawal{Tasks: idsToWire(m.Reclaim), OnlyWaiting: true}}}
-	case m.Relinquish != nil:
-		return &schema.Frame{Body: &schema.Frame_Withdrawal{Withdrawal: &schema.Withdrawal{Tasks: idsToWire(m.Relinquish), HoldEnds: true}}}
-	case m.Settle != nil:
-		return &schema.Frame{Body: &schema.Frame_Settlement{Settlement: &schema.Settlement{Runs: settledToWire(m.Settle)}}}
-	case m.Disregard != nil:
-		return &schema.Frame{Body: &schema.Frame_Settlement{Settlement: &schema.Settlement{Runs: settledToWire(m.Disregard), LapseFirst: true}}}
+	case m.WithdrawDurable != nil:
+		return &schema.Frame{Body: &schema.Frame_Withdrawal{Withdrawal: &schema.Withdrawal{Tasks: idsToWire(m.WithdrawDurable), HoldEnds: true}}}
+	case m.ConfirmStored != nil:
+		return &schema.Frame{Body: &schema.Frame_Settlement{Settlement: &schema.Settlement{Runs: settledToWire(m.ConfirmStored)}}}
+	case m.Superseded != nil:
+		return &schema.Frame{Body: &schema.Frame_Settlement{Settlement: &schema.Settlement{Runs: settledToWire(m.Superseded), LapseFirst: true}}}
 	case m.Reserve != nil || m.Unreserve != nil:
 		return &schema.Frame{Body: &schema.Frame_Reservation{Reservation: &schema.Reservation{Tasks: tasksToWire(now, m.Reserve), Dropped: idsToWire(m.Unreserve)}}}
-	case m.Recall != nil:
-		return &schema.Frame{Body: &schema.Frame_Recall{Recall: &schema.Recall{Jobs: m.Recall}}}
+	case m.Reconcile != nil:
+		return &schema.Frame{Body: &schema.Frame_Recall{Recall: &schema.Recall{Jobs: m.Reconcile}}}
 	default:
 		return &schema.Frame{Body: &schema.Frame_Withdrawal{Withdrawal: &schema.Withdrawal{Tasks: idsToWire(m.Withdraw), Confirm: m.Confirm}}}
 	}
@@ -161,24 +161,24 @@
 const maxPacePercent = 10000
 
 // holderFromPulse takes a peer's heartbeat as what its executor has left.
-func holderFromPulse(p member.Process, near int, pulse *schema.Pulse) coordinator.Holder {
-	h := coordinator.Holder{
-		Process: p, Near: near, Leaving: pulse.GetLeaving() || !pulse.GetServing(),
-		Backlog: make(map[string]executor.Backlog), Interval: ms(pulse.GetNextMs()), Demands: demandsFromPulse(pulse),
-		Rooms: make([]executor.Room, 0, len(pulse.GetRooms())),
+func holderFromPulse(p member.Process, near int, pulse *schema.Pulse) coordinator.ExecutorState {
+	h := coordinator.ExecutorState{
+		Process: p, Distance: near, Leaving: pulse.GetLeaving() || !pulse.GetServing(),
+		Backlog: make(map[string]executor.Backlog), ReportInterval: ms(pulse.GetNextMs()), Demands: demandsFromPulse(pulse),
+		Workers: make([]executor.WorkerCapacity, 0, len(pulse.GetRooms())),
 	}
 	for _, r := range pulse.GetRooms() {
-		h.Rooms = append(h.Rooms, executor.Room{
+		h.Workers = append(h.Workers, executor.WorkerCapacity{
 			Worker: r.GetWorker(), Service: r.GetService(), Open: r.GetOpen(), Usable: r.GetUsable(),
-			Free:  capacity.Vector{MilliCPU: r.GetMilliCpu(), MemoryMB: r.GetMemoryMb(), GPUs: r.GetGpus()},
-			Total: capacity.Vector{MilliCPU: r.GetTotalMilliCpu(), MemoryMB: r.GetTotalMemoryMb(), GPUs: r.GetTotalGpus()},
-			Pace:  float64(r.GetPacePercent()) / 100, Tenure: r.GetTenure(), Token: r.GetToken(),
+			Free:     capacity.Vector{MilliCPU: r.GetMilliCpu(), MemoryMB: r.GetMemoryMb(), GPUs: r.GetGpus()},
+			Total:    capacity.Vector{MilliCPU: r.GetTotalMilliCpu(), MemoryMB: r.GetTotalMemoryMb(), GPUs: r.GetTotalGpus()},
+			Slowdown: float64(r.GetPacePercent()) / 100, Epoch: r.GetTenure(), Token: r.GetToken(),
 		})
 	}
 	for _, b := range pulse.GetBacklogs() {
 		var work executor.Backlog
-		copy(work.Within(), b.GetCoreMs())
-		copy(work.Surplus(), b.GetSurplusCoreMs())
+		copy(work.WithinShare(), b.GetCoreMs())
+		copy(work.OverShare(), b.GetSurplusCoreMs())
 		h.Backlog[b.GetService()] = work
 	}
 	return h
--- a/internal/node/demands.go
+++ b/internal/node/demands.go
@@ -10,11 +10,11 @@
 
 // tellShares adds what callers ask for to a heartbeat, and publishes it with their shares.
 func (n *Node) tellShares(now time.Duration, p *schema.Pulse) {
-	list := n.coordinator.Shares(now)
+	list := n.coordinator.ShareStates(now)
 	n.metrics.shares(list)
 	for _, s := range list {
-		if s.Own > 0 {
-			p.Demands = append(p.Demands, &schema.Demand{Service: s.Service, Queue: s.Queue, MilliCpu: s.Own})
+		if s.OwnDemand > 0 {
+			p.Demands = append(p.Demands, &schema.Demand{Service: s.Service, Queue: s.Queue, MilliCpu: s.OwnDemand})
 		}
 	}
 }
@@ -50,7 +50,7 @@
 func (m *metricSet) share(labels string, s coordinator.ShareState) {
 	m.set.GetOrCreateGauge(queueDemand+labels, nil).Set(s.Demand / 1000)
 	m.set.GetOrCreateGauge(queueShare+labels, nil).Set(s.Share / 1000)
-	m.set.GetOrCreateCounter(surplusJobs + labels).Set(s.Surplus)
+	m.set.GetOrCreateCounter(surplusJobs + labels).Set(s.OverShare)
 	m.set.GetOrCreateCounter(surplusRefusals + labels).Set(s.Refused)
 }
 
--- a/internal/node/entries.go
+++ b/internal/node/entries.go
@@ -43,12 +43,12 @@
 	// content is the entry as it was read, passed on to peers.
 	content []byte
 	// stay tells whether the worker is of this daemon's cell.
-	stay fleet.Stay
+	stay fleet.CellMembership
 }
 
 // knownDaemon is another daemon's entry in the registry.
 type knownDaemon struct {
-	fleet.Place
+	fleet.DaemonInfo
 	revision int64
 	// gone is when the entry vanished; 0: it is there.
 	gone    time.Duration
@@ -230,15 +230,15 @@
 		}
 		f.relay.note(i)
 		f.daemons[i.ID] = &knownDaemon{
-			Place:    fleet.Place{Address: a, Domain: id.GetDomain(), Weight: float64(id.GetMilliCores()) / 1000},
-			revision: i.Revision, content: i.Content,
+			DaemonInfo: fleet.DaemonInfo{Address: a, Domain: id.GetDomain(), Weight: float64(id.GetMilliCores()) / 1000},
+			revision:   i.Revision, content: i.Content,
 		}
 	}
 	n.fitCells(now)
 	if n.placed.Load() { // before, the list may be a part of it
 		for _, p := range f.places(n.self) {
 			if p.Address != n.self.Address && f.inCell(p.Address) {
-				n.mesh.Know(p.Address)
+				n.mesh.AddPeers(p.Address)
 			}
 		}
 	}
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -29,8 +29,8 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// Gauge publishes a value that is read when the metrics are.
-func (n *Node) Gauge(name string, read func() float64) {
+// PublishGauge publishes a value that is read when the metrics are.
+func (n *Node) PublishGauge(name string, read func() float64) {
 	n.metrics.set.GetOrCreateGauge("lavendercleat_"+name, read)
 }
 
@@ -71,7 +71,7 @@
 func (m *metricSet) kept(v AcceptanceVerdict, why coordinator.Reason) {
 	m.count("kept_requests", "verdict", v.String(), "reason", string(why))
 }
-func (m *metricSet) ledgerNews(k ledger.NewsKind) { m.count("kept_jobs", "news", k.String()) }
+func (m *metricSet) ledgerNews(k ledger.EventKind) { m.count("kept_jobs", "news", k.String()) }
 
 // entriesRead takes the age of the store's word when entries were read.
 func (m *metricSet) entriesRead(age time.Duration) {
@@ -89,7 +89,7 @@
 		switch e.Name {
 		case executor.EventStarted:
 			n.metrics.began(e.Age)
-		case executor.EventRoomHeld, coordinator.EventMoves:
+		case executor.EventCapacityReserved, coordinator.EventTaskMoves:
 			n.metrics.reservation(e.Name)
 		}
 		if e.Age > 0 {
@@ -137,6 +137,6 @@
 	}
 	n.log.WithFields(logrus.Fields{
 		"event": "job_arrived", "job": r.ID, "request": r.CallerID, "route": w.route, "tasks": tasks,
-		"patience_ms": r.Patience.Milliseconds(), "configuration": n.documentVersion(),
+		"patience_ms": r.WaitLimit.Milliseconds(), "configuration": n.documentVersion(),
 	}).Info()
 }
--- a/internal/node/fleetview.go
+++ b/internal/node/fleetview.go
@@ -56,8 +56,8 @@
 	// pending are its kept jobs that have not begun, by queue.
 	pending map[string]uint32
 	// told is what it tells of its reading of the store, and chain what is learned by it.
-	told  registry.Told
-	chain registry.Chain
+	told  registry.RelayState
+	chain registry.RelayStream
 	// sends: it has said that it sends what changes.
 	sends bool
 }
@@ -100,7 +100,7 @@
 func newFleetView() fleetView {
 	return fleetView{
 		up: make(map[netip.AddrPort]*knownPeer), workers: make(map[string]*knownWorker), gone: make(map[string]goneWorker),
-		daemons: make(map[string]*knownDaemon), interval: fleet.FastestHeartbeat,
+		daemons: make(map[string]*knownDaemon), interval: fleet.MinHeartbeatInterval,
 	}
 }
 
@@ -212,18 +212,18 @@
 
 // places returns where the daemons are that are known, this one too; those whose entries
 // have vanished lately are still among them.
-func (f *fleetView) places(self mesh.Peer) []fleet.Place {
-	list := []fleet.Place{{Address: self.Address, Domain: self.Domain, Weight: self.Weight}}
+func (f *fleetView) places(self mesh.Peer) []fleet.DaemonInfo {
+	list := []fleet.DaemonInfo{{Address: self.Address, Domain: self.Domain, Weight: self.Weight}}
 	for _, d := range f.daemons {
 		if d.Address != self.Address {
-			list = append(list, d.Place)
+			list = append(list, d.DaemonInfo)
 		}
 	}
 	return list
 }
 
 // inCell reports whether a daemon is of this daemon's cell.
-func (f *fleetView) inCell(a netip.AddrPort) bool { return f.cells.Of(a) == f.cell }
+func (f *fleetView) inCell(a netip.AddrPort) bool { return f.cells.CellOf(a) == f.cell }
 
 // entered reports whether the daemon has an entry in the registry.
 func (f *fleetView) entered(a netip.AddrPort) bool {
@@ -240,14 +240,14 @@
 	f := &n.fleet
 	f.dropDeparted(now)
 	count := len(f.places(n.self))
-	cells := f.cells.Fit(count)
+	cells := f.cells.ResizedFor(count)
 	if cells == f.cells {
 		return
 	}
-	f.cells, f.cell = cells, cells.Of(n.self.Address)
+	f.cells, f.cell = cells, cells.CellOf(n.self.Address)
 	f.forgetStays() // too many change their cells for each to be left to its former one
 	n.log.WithFields(logrus.Fields{"event": "cells_changed", "cells": cells.Count(), "cell": f.cell, "daemons": count}).Info()
-	n.mesh.Restrict(func(a netip.AddrPort) bool { return cells.Of(a) == cells.Of(n.self.Address) })
+	n.mesh.RestrictPeers(func(a netip.AddrPort) bool { return cells.CellOf(a) == cells.CellOf(n.self.Address) })
 }
 
 // fleetTick acts on what time alone changes.
@@ -264,9 +264,9 @@
 	}
 	n.askReader(now)
 	if now >= assembleTime {
-		n.coordinator.Expect(0)
+		n.coordinator.ExpectWorkers(0)
 	}
-	if !f.settled && len(f.workers) > 0 && n.maySettle(now, n.mesh.MetElder()) {
+	if !f.settled && len(f.workers) > 0 && n.maySettle(now, n.mesh.MetEstablishedPeer()) {
 		f.settled, f.assuming = true, true
 		changed = true
 	}
@@ -304,7 +304,7 @@
 	case f.listed:
 		return len(f.unlinked(n.self)) == 0 || now >= f.placedAt+patience
 	default:
-		return n.mesh.Settled() || now >= f.placedAt+settleTime
+		return n.mesh.AllPeersTried() || now >= f.placedAt+settleTime
 	}
 }
 
@@ -323,10 +323,10 @@
 		n.executor.Update(now, w.info)
 	}
 	all = f.cells.Workers(f.cell, all, f.places(n.self))
-	n.executor.Depart(f.outside(all))
+	n.executor.SetDeparting(f.outside(all))
 	all = f.taken(now, all)
 	if now < assembleTime {
-		n.coordinator.Expect(len(all))
+		n.coordinator.ExpectWorkers(len(all))
 	}
 	if !f.settled {
 		return
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -39,8 +39,8 @@
 	content []byte
 	// answered is when the store last answered.
 	answered time.Duration
-	catchup  registry.Catchup
-	copies   registry.Copies
+	catchup  registry.ConfigFetcher
+	copies   registry.CopyLimiter
 }
 
 func (d *documents) lost(now time.Duration) bool { return now-d.answered > storeLostAfter }
@@ -69,8 +69,8 @@
 
 // Paces of the two feeds.
 var (
-	fleetPace         = registry.FollowConfig{Wait: followWait, Pace: followPace, Retry: storeRetry}
-	configurationPace = registry.FollowConfig{Wait: configurationWait, Pace: configurationPause, Retry: storeRetry}
+	fleetPace         = registry.FollowConfig{Wait: followWait, MinInterval: followPace, RetryDelay: storeRetry}
+	configurationPace = registry.FollowConfig{Wait: configurationWait, MinInterval: configurationPause, RetryDelay: storeRetry}
 )
 
 // follow takes what one feed tells.
@@ -78,17 +78,17 @@
 	registry.Follow(n.ctx, feed, pace, follower{n, fleet})
 }
 
-// Await waits while other daemons read the workers' entries for this one.
-func (f follower) Await(ctx context.Context, revision int64) int64 {
+// WaitUntilDue waits while other daemons read the workers' entries for this one.
+func (f follower) WaitUntilDue(ctx context.Context, revision int64) int64 {
 	if !f.fleet {
 		return revision
 	}
 	for ctx.Err() == nil {
 		known, step := f.n.pursue()
 		switch step {
-		case registry.Rely:
+		case registry.UseRelay:
 			clock.Sleep(ctx, followPace/2)
-		case registry.Wait:
+		case registry.WaitForRelay:
 			clock.Sleep(ctx, 2*tickEvery)
 		case registry.ReadAll:
 			return 0
@@ -99,9 +99,9 @@
 	return revision
 }
 
-// Snapshot replaces what is known of the workers; what is not shown has gone, or has
+// HandleSnapshot replaces what is known of the workers; what is not shown has gone, or has
 // lapsed with the store.
-func (f follower) Snapshot(items []registry.Item, revision int64) {
+func (f follower) HandleSnapshot(items []registry.Item, revision int64) {
 	shown := make(map[registry.Kind]map[string]bool)
 	for _, i := range items {
 		if shown[i.Kind] == nil {
@@ -125,11 +125,11 @@
 	} else {
 		f.n.takeRetirements(items, revision)
 	}
-	f.Changed(registry.Changes{Items: items, Revision: revision})
+	f.HandleChanges(registry.Changes{Items: items, Revision: revision})
 }
 
-// Changed takes changes.
-func (f follower) Changed(c registry.Changes) {
+// HandleChanges takes changes.
+func (f follower) HandleChanges(c registry.Changes) {
 	items := c.Items
 	if !f.fleet {
 		f.n.storeAnswered()
@@ -160,8 +160,8 @@
 	})
 }
 
-// Failed notes that the store gave no answer.
-func (f follower) Failed(err error) { f.n.storeFailed("follow", err) }
+// HandleError notes that the store gave no answer.
+func (f follower) HandleError(err error) { f.n.storeFailed("follow", err) }
 
 // takeDocument puts a configuration in force if it is newer than the one in force: news
 // from peers and late answers never lead back.
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -27,11 +27,11 @@
 	outside := f.outside(own)
 	for id, w := range f.workers {
 		if outside(id) {
-			w.stay.See(now, false)
+			w.stay.Update(now, false)
 		}
 	}
 	return slices.DeleteFunc(own, func(i executor.WorkerInfo) bool {
-		ready, _ := f.workers[i.ID].stay.See(now, true)
+		ready, _ := f.workers[i.ID].stay.Update(now, true)
 		if ready > now && (f.divideAt == 0 || ready < f.divideAt) {
 			f.divideAt = ready
 		}
@@ -42,6 +42,6 @@
 // forgetStays forgets which workers have been of this cell.
 func (f *fleetView) forgetStays() {
 	for _, w := range f.workers {
-		w.stay = fleet.Stay{}
+		w.stay = fleet.CellMembership{}
 	}
 }
--- a/internal/node/heirs.go
+++ b/internal/node/heirs.go
@@ -71,7 +71,7 @@
 	n.mu.Lock()
 	settled, used := n.fleet.settled, n.keeper.used
 	scan := n.keeper.heirs.scan || used && n.clock.now()-n.keeper.heirs.scannedAt >= scanEvery
-	titled, closing := n.keeper.ledger.TitleRevision() > 0, n.closing.Load()
+	titled, closing := n.keeper.ledger.OwnershipRevision() > 0, n.closing.Load()
 	n.mu.Unlock()
 	if !settled {
 		return tickEvery
@@ -84,7 +84,7 @@
 			return n.titlesFailed(err)
 		}
 	}
-	titles, err := n.platform.Ledger.List(n.ctx, ledger.TitleEntry)
+	titles, err := n.platform.Ledger.List(n.ctx, ledger.OwnershipEntry)
 	if err != nil {
 		return n.titlesFailed(err)
 	}
@@ -117,7 +117,7 @@
 func (n *Node) sweepStates() {
 	n.mu.Lock()
 	now, h := n.clock.now(), &n.keeper.heirs
-	due := n.keeper.used && now-h.sweptAt >= sweepEvery && ledger.Heir("states", n.fleet.processes(n.self)) == n.self.Process
+	due := n.keeper.used && now-h.sweptAt >= sweepEvery && ledger.Successor("states", n.fleet.processes(n.self)) == n.self.Process
 	if due {
 		h.sweptAt = now
 	}
@@ -130,7 +130,7 @@
 		n.titlesFailed(err)
 		return
 	}
-	old := ledger.Outlived(states, time.Now().Add(-2*(n.config.Retention+stateMargin)))
+	old := ledger.ExpiredStates(states, time.Now().Add(-2*(n.config.Retention+stateMargin)))
 	for part := range slices.Chunk(old, ledger.MaxRows) {
 		if _, err := n.platform.Ledger.Write(n.ctx, ledger.Change{Remove: part}); err != nil {
 			n.titlesFailed(err)
@@ -144,7 +144,7 @@
 // do it, and reports whether there is more to come soon.
 func (n *Node) removeTitles(titles []ledger.Entry) (again bool) {
 	for _, t := range titles {
-		owner, err := ledger.DecodeTitle(t.Value)
+		owner, err := ledger.DecodeOwnership(t.Value)
 		if err != nil {
 			n.log.WithFields(logrus.Fields{"event": "entry_invalid", "error": err}).Error()
 			continue
@@ -156,7 +156,7 @@
 		if !remove {
 			continue
 		}
-		r, err := n.platform.Ledger.Write(n.ctx, ledger.Removal(t))
+		r, err := n.platform.Ledger.Write(n.ctx, ledger.OwnershipRemoval(t))
 		if err != nil {
 			n.titlesFailed(err)
 		}
@@ -197,7 +197,7 @@
 			return false, true
 		}
 	}
-	return ledger.Heir(title, live) == n.self.Process, true
+	return ledger.Successor(title, live) == n.self.Process, true
 }
 
 // adopt takes the jobs whose owners have no title and whose heir this daemon is. It
@@ -206,7 +206,7 @@
 	h := &n.keeper.heirs
 	standing := make(map[uint64]bool, len(titles))
 	for _, t := range titles {
-		if owner, err := ledger.DecodeTitle(t.Value); err == nil {
+		if owner, err := ledger.DecodeOwnership(t.Value); err == nil {
 			standing[owner.Incarnation] = true
 		}
 	}
@@ -237,8 +237,8 @@
 			continue
 		}
 		h.scan, again = true, true // until all have an owner
-		if (own || ledger.Heir(e.ID, live) == n.self.Process) && !n.closing.Load() {
-			n.keeper.ledger.Adopt(now, r, e.Revision)
+		if (own || ledger.Successor(e.ID, live) == n.self.Process) && !n.closing.Load() {
+			n.keeper.ledger.TakeOver(now, r, e.Revision)
 		}
 	}
 	return again
--- a/internal/node/interfaces.go
+++ b/internal/node/interfaces.go
@@ -48,18 +48,18 @@
 	// Run brings a job to its answer. When ctx ends, the caller has gone and the job is
 	// canceled.
 	Run(ctx context.Context, r Request) coordinator.Answer
-	// Keep accepts a job that is to be kept: it is stored when Keep returns Accepted.
-	Keep(ctx context.Context, r Request) Acceptance
+	// AcceptDurable accepts a job that is to be kept: it is stored when AcceptDurable returns Accepted.
+	AcceptDurable(ctx context.Context, r Request) Acceptance
 	// Cancel ends a job, whichever daemon it is at.
 	Cancel(ctx context.Context, id string) Cancellation
 	// State returns the state of a kept job, or of one that runs here. It is 0 when there
 	// is no such job; an error tells that the store didn't answer.
 	State(ctx context.Context, id string) (ledger.State, error)
-	// Pending returns how many kept jobs of a queue have not begun, at all daemons; each
+	// PendingJobs returns how many kept jobs of a queue have not begun, at all daemons; each
 	// tells its own in its heartbeats.
-	Pending(route string) int
-	// Refused counts a request that was turned away before it became a job.
-	Refused(r Refusal)
+	PendingJobs(route string) int
+	// CountRefusal counts a request that was turned away before it became a job.
+	CountRefusal(r Refusal)
 }
 
 // Request is a caller's request for a job.
@@ -69,8 +69,8 @@
 	Route        *routing.Route
 	Payload      string
 	Steps        []coordinator.Step
-	// Patience is how long the caller waits.
-	Patience time.Duration
+	// WaitLimit is how long the caller waits.
+	WaitLimit time.Duration
 }
 
 // Acceptance is what became of a job that is to be kept.
@@ -108,8 +108,8 @@
 
 // Outcomes of a cancellation.
 const (
-	// CanceledNow: the job has ended, by this or before.
-	CanceledNow Cancellation = iota + 1
+	// CancelDone: the job has ended, by this or before.
+	CancelDone Cancellation = iota + 1
 	// NoSuchJob: there is none.
 	NoSuchJob
 	// CancelUncertain: the store doesn't answer; the caller may ask again.
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -44,7 +44,7 @@
 // caller waits for the outcome of a job's acceptance or cancellation.
 type caller struct {
 	done chan struct{}
-	news ledger.NewsKind
+	news ledger.EventKind
 	// forEnd: the end is waited for, and not the acceptance.
 	forEnd bool
 }
@@ -52,18 +52,18 @@
 func newKeeper(self mesh.Peer, retention time.Duration) keeper {
 	return keeper{
 		ledger: ledger.New(ledger.Config{
-			Owner: self.Incarnation, Title: fmt.Sprintf("%s-%x", self.Name, self.Incarnation), Retention: retention + stateMargin,
+			Owner: self.Incarnation, OwnershipID: fmt.Sprintf("%s-%x", self.Name, self.Incarnation), Retention: retention + stateMargin,
 		}),
 		callers: make(map[string][]*caller), states: newStates(), heirs: newHeirs(),
 		title: titleCheck{wake: make(chan struct{}, 1)},
 	}
 }
 
-// Keep implements Dispatcher.
-func (n *Node) Keep(ctx context.Context, r Request) Acceptance {
+// AcceptDurable implements Dispatcher.
+func (n *Node) AcceptDurable(ctx context.Context, r Request) Acceptance {
 	ctx, end := n.whileServing(ctx)
 	defer end()
-	ctx, cancel := context.WithTimeout(ctx, r.Patience)
+	ctx, cancel := context.WithTimeout(ctx, r.WaitLimit)
 	defer cancel()
 	var c *caller
 	var a Acceptance
@@ -108,9 +108,9 @@
 	return n.clock.now() < n.keeper.title.doubtUntil-doubtTime+resendTime
 }
 
-func acceptance(k ledger.NewsKind) Acceptance {
+func acceptance(k ledger.EventKind) Acceptance {
 	switch k {
-	case ledger.Stored, ledger.Duplicate, ledger.Ended, ledger.Adopted:
+	case ledger.Stored, ledger.Duplicate, ledger.Ended, ledger.TakenOver:
 		return Acceptance{Verdict: Accepted}
 	case ledger.Rejected:
 		return Acceptance{Verdict: NotAccepted, Reason: coordinator.ReasonNoStore, RetryAfter: time.Second}
@@ -138,10 +138,10 @@
 		return refused(coordinator.ReasonNoStore, time.Second)
 	}
 	j := coordinator.Job{
-		ID: r.ID, Service: r.Route.Service, Queue: r.Route.Name, Payload: r.Payload, Steps: r.Steps, Attempts: r.Route.Attempts,
-		Priority: r.Route.Priority, Stretch: r.Route.Stretch, Target: r.Route.Target, Kept: true,
+		ID: r.ID, Service: r.Route.Service, Queue: r.Route.Name, Payload: r.Payload, Steps: r.Steps, Attempts: r.Route.MaxAttempts,
+		Priority: r.Route.Priority, Stretch: r.Route.Stretch, Target: r.Route.TargetLatency, Durable: true,
 	}
-	if reason, after := n.coordinator.Refusal(now, j); reason != "" {
+	if reason, after := n.coordinator.CheckAdmission(now, j); reason != "" {
 		return refused(reason, after)
 	}
 	k.ledger.Add(now, ledger.Record{Job: j, Route: r.Route.Name})
@@ -172,7 +172,7 @@
 }
 
 // await waits for news of a job; 0 when ctx ends before.
-func (n *Node) await(ctx context.Context, id string, c *caller) ledger.NewsKind {
+func (n *Node) await(ctx context.Context, id string, c *caller) ledger.EventKind {
 	select {
 	case <-c.done:
 		return c.news
@@ -193,10 +193,10 @@
 }
 
 // answerCallers tells callers of a job; those that wait for its end not that it is stored.
-func (n *Node) answerCallers(id string, kind ledger.NewsKind) {
+func (n *Node) answerCallers(id string, kind ledger.EventKind) {
 	var rest []*caller
 	for _, c := range n.keeper.callers[id] {
-		if kind == ledger.Persisted || c.forEnd && (kind == ledger.Stored || kind == ledger.Adopted || kind == ledger.Doubtful) {
+		if kind == ledger.ProgressStored || c.forEnd && (kind == ledger.Stored || kind == ledger.TakenOver || kind == ledger.Uncertain) {
 			rest = append(rest, c)
 			continue
 		}
@@ -233,7 +233,7 @@
 
 // stateHere is the state of a job by what this daemon knows; 0: nothing. The lock is held.
 func (n *Node) stateHere(id string) ledger.State {
-	if n.waiters[id] != nil || n.coordinator.Begun(id) {
+	if n.waiters[id] != nil || n.coordinator.HasStarted(id) {
 		return ledger.Running
 	}
 	if n.keeper.ledger.Has(id) {
@@ -242,8 +242,8 @@
 	return n.keeper.states.get(id)
 }
 
-// Pending implements Dispatcher.
-func (n *Node) Pending(route string) int {
+// PendingJobs implements Dispatcher.
+func (n *Node) PendingJobs(route string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := int(n.ownPending()[route])
@@ -259,7 +259,7 @@
 // ownPending counts this daemon's kept jobs that have not begun, by queue. The lock is held.
 func (n *Node) ownPending() map[string]uint32 {
 	counts := make(map[string]uint32)
-	n.coordinator.KeptJobs(func(id string, begun bool) {
+	n.coordinator.EachDurableJob(func(id string, begun bool) {
 		if !begun {
 			counts[n.keeper.ledger.Route(id)]++
 		}
@@ -281,7 +281,7 @@
 		c = n.wait(id, true)
 	})
 	if here || c != nil && n.await(ctx, id, c) == ledger.Ended {
-		return CanceledNow
+		return CancelDone
 	}
 	for ctx.Err() == nil {
 		if out, done := n.cancelStored(ctx, id); done {
@@ -307,16 +307,16 @@
 		case state.Revision == 0:
 			return NoSuchJob, true
 		}
-		return CanceledNow, true
+		return CancelDone, true
 	}
 	r, err := n.platform.Ledger.Write(ctx, ledger.Cancellation(id, record.Revision, time.Now()))
 	if err != nil || r.Revision == 0 {
 		return 0, false
 	}
 	n.do(func(now time.Duration) {
-		n.learn(now, []ledger.News{{Kind: ledger.Ended, Record: ledger.Record{Job: coordinator.Job{ID: id}}, State: ledger.Canceled}})
+		n.learn(now, []ledger.Event{{Kind: ledger.Ended, Record: ledger.Record{Job: coordinator.Job{ID: id}}, State: ledger.Canceled}})
 	})
-	return CanceledNow, true
+	return CancelDone, true
 }
 
 func (n *Node) logAcceptance(r Request, a Acceptance) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -46,8 +46,8 @@
 	EntryTTL time.Duration
 	// StopDelay is how long a stopping daemon serves on, until the balancer has noticed.
 	StopDelay time.Duration
-	// Mbps is what the machine's link carries, in megabits a second; 0: not known.
-	Mbps float64
+	// LinkMbps is what the machine's link carries, in megabits a second; 0: not known.
+	LinkMbps float64
 	// StoreWrites is how many writes a second the store takes from all daemons together;
 	// 0: no bound.
 	StoreWrites float64
@@ -94,7 +94,7 @@
 	clearances  clearances
 	waiters     map[string]*waiter
 	// ownRooms is the list that ownHolder tells its rooms in.
-	ownRooms  []executor.Room
+	ownRooms  []executor.WorkerCapacity
 	fleet     fleetView
 	documents documents
 	keeper    keeper
@@ -113,11 +113,11 @@
 		Process: member.Process{Address: c.Address, Incarnation: rand.Uint64()},
 		Name:    c.Name, Domain: c.Domain, Weight: c.Cores,
 	}
-	n.executor = executor.New(executor.Config{Lease: c.Lease, MaxLease: c.MaxLease, StopWithin: c.StopWithin, TokenSource: tokenSource(n.self.Incarnation)})
+	n.executor = executor.New(executor.Config{Lease: c.Lease, MaxLease: c.MaxLease, StopTimeout: c.StopWithin, TokenSource: tokenSource(n.self.Incarnation)})
 	n.coordinator = coordinator.New(n.self.Process)
 	n.arbiters.Arbiter, n.starts = arbiter.New(), arbiter.NewClient(n.self.Process, (*startView)(n))
 	n.fleet = newFleetView()
-	n.fleet.relay.copies.Mbps, n.documents.copies.Mbps = c.Mbps, c.Mbps
+	n.fleet.relay.copies.Mbps, n.documents.copies.Mbps = c.LinkMbps, c.LinkMbps
 	n.clearances = newClearances()
 	n.keeper = newKeeper(n.self, c.Retention)
 	var err error
@@ -247,7 +247,7 @@
 	defer n.mu.Unlock()
 	now := n.clock.now()
 	n.noticeGap(now)
-	n.coordinator.SetHolder(n.ownHolder(now))
+	n.coordinator.UpdateExecutor(n.ownHolder(now))
 	f(now)
 	for n.route(now) {
 	}
@@ -255,12 +255,12 @@
 }
 
 // ownHolder is what this daemon's executor has left.
-func (n *Node) ownHolder(now time.Duration) coordinator.Holder {
+func (n *Node) ownHolder(now time.Duration) coordinator.ExecutorState {
 	// The list is used again, as it is told at each event. The coordinator keeps only what it was
 	// told last.
-	n.ownRooms = n.executor.AppendRooms(n.ownRooms[:0], now)
-	return coordinator.Holder{
-		Process: n.self.Process, Domain: n.self.Domain, Rooms: n.ownRooms, Backlog: n.executor.Backlog(now), Heard: now,
+	n.ownRooms = n.executor.AppendWorkerCapacities(n.ownRooms[:0], now)
+	return coordinator.ExecutorState{
+		Process: n.self.Process, Domain: n.self.Domain, Workers: n.ownRooms, Backlog: n.executor.Backlog(now), ReportedAt: now,
 	}
 }
 
@@ -275,26 +275,26 @@
 	for _, a := range c.Answers {
 		n.answered(a)
 	}
-	for _, id := range c.Changed {
+	for _, id := range c.ProgressChanged {
 		n.progressed(now, id)
 	}
-	for _, id := range c.Over {
-		n.starts.Close(now, id)
+	for _, id := range c.Stopped {
+		n.starts.ConfirmStopped(now, id)
 	}
 	for _, call := range e.Calls {
 		if n.ctx.Err() == nil { // at the end orders would fail at once, and ask for the next
 			n.wg.Go(func() { n.order(call) })
 		}
 	}
-	for _, id := range e.Dropped {
+	for _, id := range e.DroppedWorkers {
 		n.platform.Workers.Forget(id)
 	}
 	n.toCoordinators(now, e.Reports)
 	for _, t := range e.Takeovers {
 		n.askOwners(now, t)
 	}
-	if len(e.Unsettled) > 0 {
-		n.lookUpEnds(now, e.Unsettled)
+	if len(e.JobsToLookUp) > 0 {
+		n.lookUpEnds(now, e.JobsToLookUp)
 	}
 	decided := n.routeStarts(now)
 	return decided || len(c.Messages)+len(e.Reports)+len(e.Takeovers)+len(e.Calls) > 0
@@ -304,7 +304,7 @@
 func (n *Node) order(c executor.Call) {
 	a := n.platform.Workers.Do(n.ctx, c)
 	n.metrics.ordered(c.Kind, a.Verdict)
-	n.do(func(now time.Duration) { n.executor.Answered(now, c, a) })
+	n.do(func(now time.Duration) { n.executor.HandleAnswer(now, c, a) })
 }
 
 func (n *Node) toExecutor(now time.Duration, m coordinator.Message) {
@@ -314,36 +314,36 @@
 	}
 	switch {
 	case m.Claims != nil:
-		n.executor.Claimed(now, *m.Claims)
+		n.executor.HandleClaims(now, *m.Claims)
 	case m.Offer != nil:
 		n.executor.Offer(now, n.self.Process, m.Offer)
 	case m.Reclaim != nil:
 		n.executor.Reclaim(now, n.self.Process, m.Reclaim)
-	case m.Relinquish != nil:
-		n.executor.Relinquish(now, n.self.Process, m.Relinquish)
-	case m.Settle != nil:
-		n.executor.Settle(now, m.Settle)
-	case m.Disregard != nil:
-		n.executor.Disregard(m.Disregard)
+	case m.WithdrawDurable != nil:
+		n.executor.WithdrawDurable(now, n.self.Process, m.WithdrawDurable)
+	case m.ConfirmStored != nil:
+		n.executor.ConfirmStored(now, m.ConfirmStored)
+	case m.Superseded != nil:
+		n.executor.MarkSuperseded(m.Superseded)
 	case m.Reserve != nil:
 		n.executor.Reserve(now, n.self.Process, m.Reserve)
 	case m.Unreserve != nil:
 		n.executor.Unreserve(now, n.self.Process, m.Unreserve)
-	case m.Recall != nil:
-		n.executor.Recall(now, n.self.Process, m.Recall)
+	case m.Reconcile != nil:
+		n.executor.Reconcile(now, n.self.Process, m.Reconcile)
 	default:
 		n.executor.Withdraw(now, n.self.Process, m.Withdraw, m.Confirm)
 	}
 }
 
-func (n *Node) toCoordinators(now time.Duration, reports []executor.Owned) {
+func (n *Node) toCoordinators(now time.Duration, reports []executor.OwnedReport) {
 	remote := make(map[member.Process]*schema.Reports)
 	for _, r := range reports {
-		if r.Outcome != 0 && r.Reason != executor.ReasonRoom {
+		if r.Outcome != 0 && r.Reason != executor.ReasonReserved {
 			n.metrics.reported(r.Outcome)
 		}
 		if r.Owner == n.self.Process {
-			n.coordinator.Reported(now, n.self.Process, r.Report)
+			n.coordinator.HandleReport(now, n.self.Process, r.Report)
 			continue
 		}
 		list := remote[r.Owner]
@@ -361,7 +361,7 @@
 // askOwners asks all coordinators for the runs of a worker that was taken over.
 func (n *Node) askOwners(now time.Duration, t executor.Takeover) {
 	if t.To == n.self.Process {
-		n.coordinator.TakenOver(now, n.self.Process, t)
+		n.coordinator.HandleTakeover(now, n.self.Process, t)
 		return
 	}
 	if t.To != (member.Process{}) {
@@ -373,6 +373,6 @@
 		asked = append(asked, p.Process)
 		n.mesh.Send(p.Process, takeoverToWire(t))
 	}
-	n.executor.Asked(now, t.Worker, asked)
-	n.coordinator.TakenOver(now, n.self.Process, t)
+	n.executor.ExpectClaims(now, t.Worker, asked)
+	n.coordinator.HandleTakeover(now, n.self.Process, t)
 }
--- a/internal/node/paces.go
+++ b/internal/node/paces.go
@@ -5,6 +5,6 @@
 // sharePaces takes what peers have told of workers' speed into what this daemon's executor
 // decides by: what is usual, and what earlier holders knew of its workers. The lock is held.
 func (n *Node) sharePaces(now time.Duration) {
-	n.executor.SetUsual(n.coordinator.UsualPaces(now))
-	n.executor.Inherit(now, func(worker string) (float64, time.Duration) { return n.coordinator.PaceOf(now, worker) })
+	n.executor.SetMedianSlowdowns(n.coordinator.MedianSlowdowns(now))
+	n.executor.ImportSlowdowns(now, func(worker string) (float64, time.Duration) { return n.coordinator.Slowdown(now, worker) })
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -20,8 +20,8 @@
 )
 
 // staleAfter is how long this process may stand still before its peers may have given it
-// up: they wait for mesh.LostAfter from a heartbeat that is two intervals old at most.
-func staleAfter(interval time.Duration) time.Duration { return mesh.LostAfter - 2*interval }
+// up: they wait for mesh.PeerTimeout from a heartbeat that is two intervals old at most.
+func staleAfter(interval time.Duration) time.Duration { return mesh.PeerTimeout - 2*interval }
 
 // loseAllPeers acts on having stood still for so long that peers have given this daemon
 // up: they start elsewhere what they have offered to it. What they sent before waits in
@@ -34,12 +34,12 @@
 			continue
 		}
 		n.fleet.peerLost(now, k.Peer, false)
-		n.coordinator.HolderLost(now, k.Process)
-		n.executor.OwnerLost(now, k.Process)
+		n.coordinator.HandleExecutorLost(now, k.Process)
+		n.executor.HandleOwnerLost(now, k.Process)
 		n.ownerLost(now, k.Peer)
 		n.startsLost(now, k.Peer)
 	}
-	n.wg.Go(n.mesh.Reset)
+	n.wg.Go(n.mesh.ResetSessions)
 }
 
 // from does f for a frame of a peer, unless the peer is lost meanwhile.
@@ -79,14 +79,14 @@
 		n.takeDaemons(now, items)
 		n.fleet.listed = err == nil && len(n.fleet.places(n.self)) > 1
 	})
-	n.mesh.Know(n.config.Seeds...)
+	n.mesh.AddPeers(n.config.Seeds...)
 }
 
 // knowNamed links daemons that a peer names, unless they are of another cell.
 func (n *Node) knowNamed(addresses []string) {
 	for _, text := range addresses {
 		if a, err := netip.ParseAddrPort(text); err == nil && a != n.self.Address {
-			n.mesh.Know(a)
+			n.mesh.AddPeers(a)
 		}
 	}
 }
@@ -106,23 +106,23 @@
 	})
 }
 
-// PeerLost implements mesh.Handler.
-func (h *peerHandler) PeerLost(p mesh.Peer, gone bool) {
+// PeerUnreachable implements mesh.Handler.
+func (h *peerHandler) PeerUnreachable(p mesh.Peer, gone bool) {
 	n := (*Node)(h)
 	n.log.WithFields(logrus.Fields{"event": "peer_lost", "peer": p.Name, "incarnation": p.Incarnation, "refused": gone}).Warn()
 	n.metrics.peerLost(gone)
 	n.do(func(now time.Duration) {
 		n.fleet.peerLost(now, p, gone)
-		n.coordinator.HolderLost(now, p.Process)
+		n.coordinator.HandleExecutorLost(now, p.Process)
 		n.ownerLost(now, p)
-		n.executor.OwnerLost(now, p.Process)
+		n.executor.HandleOwnerLost(now, p.Process)
 		n.startsLost(now, p)
 		n.reassign()
 	})
 }
 
-// Pulse implements mesh.Handler.
-func (h *peerHandler) Pulse() *schema.Pulse {
+// Heartbeat implements mesh.Handler.
+func (h *peerHandler) Heartbeat() *schema.Pulse {
 	n := (*Node)(h)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -131,16 +131,16 @@
 	n.judgeReader(now)
 	n.sharePaces(now)
 	p := &schema.Pulse{Leaving: n.stopping.Load(), Serving: n.table.Load() != nil, StoreLost: n.documents.lost(now), DocumentVersion: n.documentVersion(), NextMs: n.fleet.interval.Milliseconds()}
-	for _, r := range n.executor.Rooms(now) {
+	for _, r := range n.executor.WorkerCapacities(now) {
 		p.Rooms = append(p.Rooms, &schema.Room{
 			Worker: r.Worker, Service: r.Service, Open: r.Open, Usable: r.Usable,
 			MilliCpu: r.Free.MilliCPU, MemoryMb: r.Free.MemoryMB, Gpus: r.Free.GPUs,
 			TotalMilliCpu: r.Total.MilliCPU, TotalMemoryMb: r.Total.MemoryMB, TotalGpus: r.Total.GPUs,
-			PacePercent: paceToWire(r.Pace), Tenure: r.Tenure, Token: r.Token,
+			PacePercent: paceToWire(r.Slowdown), Tenure: r.Epoch, Token: r.Token,
 		})
 	}
 	for service, work := range n.executor.Backlog(now) {
-		p.Backlogs = append(p.Backlogs, &schema.Backlog{Service: service, CoreMs: work.Within(), SurplusCoreMs: surplusToWire(work.Surplus())})
+		p.Backlogs = append(p.Backlogs, &schema.Backlog{Service: service, CoreMs: work.WithinShare(), SurplusCoreMs: surplusToWire(work.OverShare())})
 	}
 	n.tellShares(now, p)
 	p.Pending = n.ownPending()
@@ -152,8 +152,8 @@
 	return p
 }
 
-// Pulsed implements mesh.Handler.
-func (h *peerHandler) Pulsed(p mesh.Peer, pulse *schema.Pulse) {
+// HandleHeartbeat implements mesh.Handler.
+func (h *peerHandler) HandleHeartbeat(p mesh.Peer, pulse *schema.Pulse) {
 	n := (*Node)(h)
 	if n.placed.Load() {
 		n.knowNamed(pulse.GetPeers())
@@ -171,16 +171,16 @@
 		return
 	}
 	holder := holderFromPulse(p.Process, near, pulse)
-	n.fleet.locate(holder.Rooms)
-	holder.Heard, holder.Domain = n.clock.now(), p.Domain
-	n.coordinator.SetHolder(holder)
-	if n.fleet.pulsed(holder.Heard, p, pulse) {
+	n.fleet.locate(holder.Workers)
+	holder.ReportedAt, holder.Domain = n.clock.now(), p.Domain
+	n.coordinator.UpdateExecutor(holder)
+	if n.fleet.pulsed(holder.ReportedAt, p, pulse) {
 		n.reassign()
 	}
 }
 
-// Received implements mesh.Handler.
-func (h *peerHandler) Received(p mesh.Peer, f *schema.Frame) {
+// HandleFrame implements mesh.Handler.
+func (h *peerHandler) HandleFrame(p mesh.Peer, f *schema.Frame) {
 	n := (*Node)(h)
 	if f.GetOffer() != nil || f.GetReservation() != nil || f.GetClaims() != nil {
 		n.clock.sync() // frames that were on their way during a suspension are old
@@ -192,7 +192,7 @@
 		n.from(p, func(now time.Duration) {
 			ids := idsFromWire(b.Withdrawal.GetTasks())
 			if b.Withdrawal.GetHoldEnds() {
-				n.executor.Relinquish(now, p.Process, ids)
+				n.executor.WithdrawDurable(now, p.Process, ids)
 				return
 			}
 			if b.Withdrawal.GetOnlyWaiting() {
@@ -205,10 +205,10 @@
 		n.from(p, func(now time.Duration) {
 			runs := settledFromWire(b.Settlement.GetRuns())
 			if b.Settlement.GetLapseFirst() {
-				n.executor.Disregard(runs)
+				n.executor.MarkSuperseded(runs)
 				return
 			}
-			n.executor.Settle(now, runs)
+			n.executor.ConfirmStored(now, runs)
 		})
 	case *schema.Frame_Reservation:
 		n.from(p, func(now time.Duration) {
@@ -216,20 +216,20 @@
 			n.executor.Reserve(now, p.Process, tasksFromWire(now, b.Reservation.GetTasks()))
 		})
 	case *schema.Frame_Recall:
-		n.from(p, func(now time.Duration) { n.executor.Recall(now, p.Process, b.Recall.GetJobs()) })
+		n.from(p, func(now time.Duration) { n.executor.Reconcile(now, p.Process, b.Recall.GetJobs()) })
 	case *schema.Frame_JobStates:
 		n.from(p, func(now time.Duration) { n.told(now, p, b.JobStates.GetStates()) })
 	case *schema.Frame_Reports:
 		n.from(p, func(now time.Duration) {
 			for _, r := range b.Reports.GetReports() {
-				n.coordinator.Reported(now, p.Process, reportFromWire(r))
+				n.coordinator.HandleReport(now, p.Process, reportFromWire(r))
 			}
 		})
 	case *schema.Frame_Takeover:
-		n.from(p, func(now time.Duration) { n.coordinator.TakenOver(now, p.Process, takeoverFromWire(b.Takeover)) })
+		n.from(p, func(now time.Duration) { n.coordinator.HandleTakeover(now, p.Process, takeoverFromWire(b.Takeover)) })
 	case *schema.Frame_Claims:
 		n.from(p, func(now time.Duration) {
-			n.executor.Claimed(now, executor.Claims{
+			n.executor.HandleClaims(now, executor.Claims{
 				Owner: p.Process, Worker: b.Claims.GetWorker(), Tasks: tasksFromWire(now, b.Claims.GetTasks()),
 			})
 		})
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -24,7 +24,7 @@
 	// and tookAt when it was taken here; knownAt is when all was last known, by reading or by
 	// being told.
 	readAt, tookAt, knownAt time.Duration
-	pursuit                 registry.Pursuit
+	pursuit                 registry.SyncPlanner
 	// reader: this daemon reads for others; term counts how often it began to, at beganAt.
 	reader  bool
 	term    uint32
@@ -38,7 +38,7 @@
 	// askedAt is when a reader was last asked, and asked which one.
 	askedAt time.Duration
 	asked   member.Process
-	copies  registry.Copies
+	copies  registry.CopyLimiter
 	// root is the daemon of another cell that told what was read last, and rootAge how long
 	// before it had heard from the store; "" and 0: the store itself.
 	root    string
@@ -91,22 +91,22 @@
 
 // readers are the daemons that read the store's entries, as this one sees it.
 func (n *Node) readers(now time.Duration) []member.Process {
-	var able []registry.Reader
+	var able []registry.Relay
 	if !n.documents.lost(now) && !n.stopping.Load() {
-		able = append(able, registry.Reader{Process: n.self.Process, Domain: n.self.Domain, Weight: n.self.Weight})
+		able = append(able, registry.Relay{Process: n.self.Process, Domain: n.self.Domain, Weight: n.self.Weight})
 	}
 	for _, k := range n.fleet.up {
 		if k.up && !k.leaving && !k.storeLost {
-			able = append(able, registry.Reader{Process: k.Process, Domain: k.Domain, Weight: k.Weight})
+			able = append(able, registry.Relay{Process: k.Process, Domain: k.Domain, Weight: k.Weight})
 		}
 	}
 	if now < n.fleet.placedAt+assumeTime {
 		// At a start each daemon would take itself for a reader until it is linked.
 		for _, m := range n.fleet.unlinked(n.self) {
-			able = append(able, registry.Reader{Process: m.Process, Domain: m.Domain, Weight: m.Weight})
+			able = append(able, registry.Relay{Process: m.Process, Domain: m.Domain, Weight: m.Weight})
 		}
 	}
-	return registry.Readers(able)
+	return registry.SelectRelays(able)
 }
 
 // awaitsReaders reports whether this daemon, which has just started and knows nothing, is to
@@ -116,7 +116,7 @@
 	if f.relay.known > 0 || f.relay.reader || !f.listed {
 		return false
 	}
-	return registry.Relayed(f.live()+len(f.unlinked(n.self)), f.cells.Count() > 1) && now < f.placedAt+2*assumeTime
+	return registry.UsesRelays(f.live()+len(f.unlinked(n.self)), f.cells.Count() > 1) && now < f.placedAt+2*assumeTime
 }
 
 // tell is what this daemon tells of its reading.
@@ -129,39 +129,39 @@
 // heard takes what a peer tells of its reading. A daemon that reads for others takes
 // nothing from other readers, as it would have to pass it on.
 func (r *relay) heard(now time.Duration, k *knownPeer, p *schema.Pulse) {
-	k.told = registry.Told{Revision: p.GetRegistryRevision(), Term: p.GetRegistryTerm(), Age: ms(p.GetRegistryAgeMs())}
+	k.told = registry.RelayState{Revision: p.GetRegistryRevision(), Term: p.GetRegistryTerm(), Age: ms(p.GetRegistryAgeMs())}
 	if r.reader {
-		k.chain = registry.Chain{}
+		k.chain = registry.RelayStream{}
 		return
 	}
-	r.known = k.chain.Heard(now, r.known, k.told)
-	if k.chain.Current(now) {
+	r.known = k.chain.HandleState(now, r.known, k.told)
+	if k.chain.UpToDate(now) {
 		r.knownAt = max(r.knownAt, now-k.told.Age)
 	}
 }
 
 // pursue returns the revision up to which all is known here, and how this daemon is to
 // learn of later changes.
-func (n *Node) pursue() (known int64, step registry.Step) {
+func (n *Node) pursue() (known int64, step registry.SyncAction) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now, r := n.clock.now(), &n.fleet.relay
 	if !n.placed.Load() && r.known == 0 {
-		return 0, registry.Wait
+		return 0, registry.WaitForRelay
 	}
 	n.judgeReader(now)
-	step = r.pursuit.Next(now, registry.Situation{
-		Reader: r.reader, Wide: n.fleet.wide(), Starting: n.awaitsReaders(now), StoreLost: n.documents.lost(now),
-		Current: n.fleet.reliedOn(now), Offered: n.fleet.ahead() != nil, KnownAt: r.knownAt,
+	step = r.pursuit.NextAction(now, registry.SyncStatus{
+		IsRelay: r.reader, UsesRelays: n.fleet.wide(), Starting: n.awaitsReaders(now), StoreUnreachable: n.documents.lost(now),
+		RelayUpToDate: n.fleet.reliedOn(now), RelayAhead: n.fleet.ahead() != nil, UpToDateAt: r.knownAt,
 	})
-	if step == registry.Watch && r.known == 0 {
+	if step == registry.WatchStore && r.known == 0 {
 		step = registry.ReadAll // there is nothing to watch from
 	}
 	return r.known, step
 }
 
 // wide reports whether some daemons read for all.
-func (f *fleetView) wide() bool { return registry.Relayed(f.live(), f.cells.Count() > 1) }
+func (f *fleetView) wide() bool { return registry.UsesRelays(f.live(), f.cells.Count() > 1) }
 
 // ahead returns a reader that knows more than this daemon; nil when there is none. It is
 // another one than was asked last, if there are two. What a reader knows is told by its
@@ -180,7 +180,7 @@
 // reliedOn reports whether there is a reader that this daemon can rely on.
 func (f *fleetView) reliedOn(now time.Duration) bool {
 	for _, k := range f.up {
-		if k.up && k.chain.Current(now) {
+		if k.up && k.chain.UpToDate(now) {
 			return true
 		}
 	}
@@ -245,7 +245,7 @@
 	out := &schema.Registry{Revision: r.known, Term: r.term, Since: since}
 	if since == 0 || since < n.fleet.forgotten {
 		out.Since, out.Complete, out.Packed = 0, true, n.allPacked()
-		if out.Packed == nil || !r.copies.Take(now, len(out.Packed)) {
+		if out.Packed == nil || !r.copies.Allow(now, len(out.Packed)) {
 			return
 		}
 	} else {
@@ -307,7 +307,7 @@
 		return
 	}
 	k := n.fleet.up[p.Address]
-	k.chain.Opened(g.GetTerm())
+	k.chain.HandleOpened(g.GetTerm())
 	k.sends = true
 	entries := g.GetEntries()
 	if len(g.GetPacked()) > 0 {
@@ -337,7 +337,7 @@
 			workers = append(workers, n.fleet.unlisted(workers, g.GetRevision())...)
 		}
 		r.known = g.GetRevision()
-		k.chain.Copied(g.GetTerm())
+		k.chain.HandleCopy(g.GetTerm())
 	}
 	// The peer has seen that a worker left, or its entry lapse; it judged.
 	changed := n.takeWorkers(now, workers, func(string) bool { return true })
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -106,10 +106,10 @@
 		n.waiters[r.ID] = w
 		n.logArrival(w, r)
 		w.job = coordinator.Job{
-			ID: r.ID, Service: r.Route.Service, Queue: r.Route.Name, Payload: r.Payload, Steps: r.Steps, Attempts: r.Route.Attempts,
-			Priority: r.Route.Priority, Stretch: r.Route.Stretch, Target: r.Route.Target, Deadline: now + r.Patience,
+			ID: r.ID, Service: r.Route.Service, Queue: r.Route.Name, Payload: r.Payload, Steps: r.Steps, Attempts: r.Route.MaxAttempts,
+			Priority: r.Route.Priority, Stretch: r.Route.Stretch, Target: r.Route.TargetLatency, Deadline: now + r.WaitLimit,
 		}
-		n.starts.Apply(now, r.ID, now+r.Patience)
+		n.starts.RequestStart(now, r.ID, now+r.WaitLimit)
 	})
 	return w
 }
@@ -149,11 +149,11 @@
 	return true
 }
 
-// Refused implements Dispatcher.
-func (n *Node) Refused(r Refusal) { n.metrics.refused(string(r)) }
+// CountRefusal implements Dispatcher.
+func (n *Node) CountRefusal(r Refusal) { n.metrics.refused(string(r)) }
 
-// Seeds adds addresses of peers.
-func (n *Node) Seeds(seeds []netip.AddrPort) { n.mesh.Know(seeds...) }
+// AddSeeds adds addresses of peers.
+func (n *Node) AddSeeds(seeds []netip.AddrPort) { n.mesh.AddPeers(seeds...) }
 
 // Ready reports whether the balancer should send callers here.
 func (n *Node) Ready() bool {
--- a/internal/node/retire.go
+++ b/internal/node/retire.go
@@ -22,7 +22,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.wordsTaken(n.fleet.retirements.Replace(shown, revision), "store")
+	n.wordsTaken(n.fleet.retirements.ApplySnapshot(shown, revision), "store")
 }
 
 // takeRetirement takes a change of such an entry.
@@ -56,7 +56,7 @@
 }
 
 func (n *Node) takeWord(w registry.Retirement, source string) {
-	if n.fleet.retirements.Take(w) {
+	if n.fleet.retirements.Apply(w) {
 		n.wordsTaken([]registry.Retirement{w}, source)
 	}
 }
@@ -86,8 +86,8 @@
 			retired[w.Domain] = true
 		}
 	}
-	n.coordinator.Retire(retired)
-	n.executor.Retire(n.clock.now(), retired)
+	n.coordinator.SetRetiredDomains(retired)
+	n.executor.RetireDomains(n.clock.now(), retired)
 }
 
 // retired publishes whether a failure domain is retired.
@@ -109,7 +109,7 @@
 
 // locate adds to an executor's rooms where the workers are: heartbeats leave it out, as
 // each daemon knows it from the workers' entries.
-func (f *fleetView) locate(rooms []executor.Room) {
+func (f *fleetView) locate(rooms []executor.WorkerCapacity) {
 	for i := range rooms {
 		if w := f.workers[rooms[i].Worker]; w != nil {
 			rooms[i].Domain = w.info.Domain
--- a/internal/node/share.go
+++ b/internal/node/share.go
@@ -15,16 +15,16 @@
 func (n *Node) catchUp(now time.Duration) {
 	has := n.documentVersion()
 	if n.fleet.newestDocument() <= has {
-		n.documents.catchup.Next(now, n.self.Process, has, false, nil)
+		n.documents.catchup.NextSource(now, n.self.Process, has, false, nil)
 		return
 	}
-	var peers []registry.Source
+	var peers []registry.ConfigSource
 	for _, k := range n.fleet.up {
 		if k.up {
-			peers = append(peers, registry.Source{Process: k.Process, Version: k.documentVersion, Near: k.Domain == n.self.Domain})
+			peers = append(peers, registry.ConfigSource{Process: k.Process, Version: k.documentVersion, SameDomain: k.Domain == n.self.Domain})
 		}
 	}
-	to, ok := n.documents.catchup.Next(now, n.self.Process, has, n.documents.lost(now), peers)
+	to, ok := n.documents.catchup.NextSource(now, n.self.Process, has, n.documents.lost(now), peers)
 	if !ok {
 		return
 	}
@@ -55,7 +55,7 @@
 // none asks elsewhere. The lock is held.
 func (n *Node) documentAsked(now time.Duration, p mesh.Peer, r *schema.DocumentRequest) {
 	t := n.table.Load()
-	if t == nil || r.GetVersion() >= t.Version || !n.documents.copies.Take(now, len(n.documents.content)) {
+	if t == nil || r.GetVersion() >= t.Version || !n.documents.copies.Allow(now, len(n.documents.content)) {
 		return
 	}
 	n.mesh.Send(p.Process, &schema.Frame{Body: &schema.Frame_Document{Document: &schema.Document{
@@ -66,7 +66,7 @@
 // documentCame takes a copy of a peer's configuration.
 func (n *Node) documentCame(p mesh.Peer, d *schema.Document) {
 	n.mu.Lock()
-	n.documents.catchup.Arrived()
+	n.documents.catchup.HandleCopy()
 	n.mu.Unlock()
 	if d.GetVersion() > n.documentVersion() {
 		n.takeDocument(d.GetContent(), "peer "+p.Name)
--- a/internal/node/starts.go
+++ b/internal/node/starts.go
@@ -36,13 +36,13 @@
 	*arbiter.Arbiter
 }
 
-func (a *arbiters) ask(now time.Duration, q arbiter.Question) (arbiter.Verdict, member.Process) {
+func (a *arbiters) ask(now time.Duration, q arbiter.GrantRequest) (arbiter.Verdict, member.Process) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.Ask(now, q)
+	return a.HandleRequest(now, q)
 }
 
-func (a *arbiters) release(job string, t arbiter.Try) {
+func (a *arbiters) release(job string, t arbiter.Attempt) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.Release(job, t)
@@ -51,7 +51,7 @@
 func (a *arbiters) sweep(now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.Sweep(now)
+	a.RemoveExpired(now)
 }
 
 // startView is what the daemon sees of the fleet, for the question who may start a job.
@@ -81,8 +81,8 @@
 	return fleet.Arbiters(job, list, count)
 }
 
-// Sees implements arbiter.View.
-func (v *startView) Sees(p member.Process) bool {
+// Reachable implements arbiter.View.
+func (v *startView) Reachable(p member.Process) bool {
 	n := (*Node)(v)
 	k := n.fleet.up[p.Address]
 	return p == n.self.Process || k != nil && k.up && k.Incarnation == p.Incarnation
@@ -92,9 +92,9 @@
 // is held.
 func (n *Node) routeStarts(now time.Duration) bool {
 	o := n.starts.Drain()
-	for _, h := range o.Held {
-		n.metrics.count("jobs_held_elsewhere", "holder_in_sight", strconv.FormatBool(h.InSight))
-		n.log.WithFields(logrus.Fields{"event": "job_held_elsewhere", "job": h.Job, "holder": h.Holder.Address, "in_sight": h.InSight}).Info()
+	for _, h := range o.HeldElsewhere {
+		n.metrics.count("jobs_held_elsewhere", "holder_in_sight", strconv.FormatBool(h.Reachable))
+		n.log.WithFields(logrus.Fields{"event": "job_held_elsewhere", "job": h.Job, "holder": h.Holder.Address, "in_sight": h.Reachable}).Info()
 	}
 	for _, m := range o.Messages {
 		if m.To == n.self.Process {
@@ -115,20 +115,20 @@
 	}
 	for _, e := range o.Expired {
 		a := coordinator.Answer{Job: e.Job, Status: coordinator.Refused, Reason: coordinator.ReasonNotGranted, RetryAfter: time.Second}
-		if e.Elsewhere {
+		if e.MayHaveRun {
 			a.Status = coordinator.GivenUp
 		}
 		n.answered(a)
 	}
-	for _, p := range o.Clear {
+	for _, p := range o.QuiescenceChecks {
 		n.wantCleared(now, p)
 	}
-	for _, id := range o.Left {
+	for _, id := range o.WaiterUnreachable {
 		if w := n.waiters[id]; w != nil {
 			n.endUnwanted(now, w)
 		}
 	}
-	return len(o.Messages)+len(o.Start)+len(o.Revoked)+len(o.Expired)+len(o.Left) > 0
+	return len(o.Messages)+len(o.Start)+len(o.Revoked)+len(o.Expired)+len(o.WaiterUnreachable) > 0
 }
 
 // submit hands a job that may be started to the coordinator.
@@ -136,7 +136,7 @@
 	w := n.waiters[id]
 	if w == nil {
 		n.starts.Abandon(id)
-		n.starts.Close(now, id)
+		n.starts.ConfirmStopped(now, id)
 		return
 	}
 	n.coordinator.Submit(now, w.job)
@@ -144,7 +144,7 @@
 
 // endUnwanted ends a job that nobody waits for any more, here or elsewhere.
 func (n *Node) endUnwanted(now time.Duration, w *waiter) {
-	if w.callers > 0 || n.starts.Wanted(w.id) || n.waiters[w.id] != w {
+	if w.callers > 0 || n.starts.HasWaiters(w.id) || n.waiters[w.id] != w {
 		return
 	}
 	delete(n.waiters, w.id)
@@ -157,21 +157,21 @@
 // startEnded tells those that wait for a job elsewhere of its answer. A job that was not brought
 // to its end here is left to them once nothing of it runs.
 func (n *Node) startEnded(now time.Duration, a coordinator.Answer) {
-	over := !n.coordinator.Ending(a.Job)
+	over := !n.coordinator.IsStopping(a.Job)
 	if a.Status != coordinator.Completed && a.Status != coordinator.TaskFailed {
 		n.starts.Abandon(a.Job)
 		n.closeIfOver(now, a.Job)
 		return
 	}
-	for _, p := range n.starts.Answer(a.Job, over) {
+	for _, p := range n.starts.Complete(a.Job, over) {
 		n.mesh.Send(p, newsToWire(a.Job, a.Status))
 	}
 }
 
 // closeIfOver tells arbiters and those that wait that nothing of the job runs here.
 func (n *Node) closeIfOver(now time.Duration, id string) {
-	if !n.coordinator.Ending(id) {
-		n.starts.Close(now, id)
+	if !n.coordinator.IsStopping(id) {
+		n.starts.ConfirmStopped(now, id)
 	}
 }
 
@@ -188,15 +188,15 @@
 func (n *Node) judgeStart(now time.Duration, from member.Process, q *schema.StartQuestion) (own *schema.Frame) {
 	job := q.GetJob()
 	if q.GetReleased() {
-		n.arbiters.release(job, arbiter.Try{Process: from, Number: q.GetTry()})
+		n.arbiters.release(job, arbiter.Attempt{Process: from, Number: q.GetTry()})
 		return nil
 	}
-	v, displaced := n.arbiters.ask(now, arbiter.Question{
-		Job: job, From: arbiter.Try{Process: from, Number: q.GetTry()}, Hold: ms(q.GetHoldMs()),
-		Over: tryFromWire(q.GetOverAddress(), q.GetOverIncarnation(), q.GetOverTry()),
+	v, displaced := n.arbiters.ask(now, arbiter.GrantRequest{
+		Job: job, From: arbiter.Attempt{Process: from, Number: q.GetTry()}, GrantDuration: ms(q.GetHoldMs()),
+		NotRunning: tryFromWire(q.GetOverAddress(), q.GetOverIncarnation(), q.GetOverTry()),
 	})
 	if displaced.Address.IsValid() {
-		n.mesh.Send(displaced, verdictToWire(job, arbiter.Verdict{Holder: arbiter.Try{Process: from, Number: q.GetTry()}}))
+		n.mesh.Send(displaced, verdictToWire(job, arbiter.Verdict{Holder: arbiter.Attempt{Process: from, Number: q.GetTry()}}))
 	}
 	if from == n.self.Process {
 		return verdictToWire(job, v)
@@ -214,16 +214,16 @@
 		}
 	case *schema.Frame_StartVerdict:
 		v := b.StartVerdict
-		n.starts.Answered(now, from, v.GetJob(), arbiter.Verdict{
+		n.starts.HandleVerdict(now, from, v.GetJob(), arbiter.Verdict{
 			Granted: v.GetGranted(), Holder: tryFromWire(v.GetHolderAddress(), v.GetHolderIncarnation(), v.GetHolderTry()),
 		})
 	case *schema.Frame_JobInquiry:
 		job := b.JobInquiry.GetJob()
 		if !b.JobInquiry.GetLeaves() {
-			n.starts.Inquired(from, job)
+			n.starts.HandleQuery(from, job)
 			return
 		}
-		if w := n.waiters[job]; n.starts.Left(from, job) && w != nil {
+		if w := n.waiters[job]; n.starts.HandleCancelQuery(from, job) && w != nil {
 			n.endUnwanted(now, w)
 		}
 	case *schema.Frame_JobNews:
@@ -244,7 +244,7 @@
 func (n *Node) newsReceived(now time.Duration, from member.Process, news *schema.JobNews) {
 	job, status := news.GetJob(), coordinator.Status(news.GetStatus())
 	if status == 0 {
-		n.starts.Over(now, from, job, news.GetTry())
+		n.starts.HandleNotRunning(now, from, job, news.GetTry())
 		return
 	}
 	if w := n.waiters[job]; w != nil && n.starts.WaitsFor(from, job) {
@@ -255,12 +255,12 @@
 // startsLost notes that a peer is out of sight. The lock is held.
 func (n *Node) startsLost(now time.Duration, p mesh.Peer) {
 	n.clearances.peerLost(now, p)
-	n.starts.Lost(now, p.Process)
+	n.starts.HandleUnreachable(now, p.Process)
 }
 
 // startsFound notes that a peer is in sight. The lock is held.
 func (n *Node) startsFound(now time.Duration, p member.Process) {
-	n.starts.Found(now, p)
+	n.starts.HandleReachable(now, p)
 	n.clearanceFound(now, p)
 }
 
@@ -276,20 +276,20 @@
 
 func startToWire(m arbiter.Message) *schema.Frame {
 	switch {
-	case m.Question != nil:
-		q := &schema.StartQuestion{Job: m.Question.Job, HoldMs: m.Question.Hold.Milliseconds(), Try: m.Question.From.Number}
-		if over := m.Question.Over; over.Process.Address.IsValid() {
+	case m.Request != nil:
+		q := &schema.StartQuestion{Job: m.Request.Job, HoldMs: m.Request.GrantDuration.Milliseconds(), Try: m.Request.From.Number}
+		if over := m.Request.NotRunning; over.Process.Address.IsValid() {
 			q.OverAddress, q.OverIncarnation, q.OverTry = over.Process.Address.String(), over.Process.Incarnation, over.Number
 		}
 		return &schema.Frame{Body: &schema.Frame_StartQuestion{StartQuestion: q}}
 	case m.Release != "":
-		return &schema.Frame{Body: &schema.Frame_StartQuestion{StartQuestion: &schema.StartQuestion{Job: m.Release, Released: true, Try: m.Try}}}
-	case m.Inquiry != "":
-		return &schema.Frame{Body: &schema.Frame_JobInquiry{JobInquiry: &schema.JobInquiry{Job: m.Inquiry}}}
-	case m.Leave != "":
-		return &schema.Frame{Body: &schema.Frame_JobInquiry{JobInquiry: &schema.JobInquiry{Job: m.Leave, Leaves: true}}}
+		return &schema.Frame{Body: &schema.Frame_StartQuestion{StartQuestion: &schema.StartQuestion{Job: m.Release, Released: true, Try: m.Attempt}}}
+	case m.Query != "":
+		return &schema.Frame{Body: &schema.Frame_JobInquiry{JobInquiry: &schema.JobInquiry{Job: m.Query}}}
+	case m.CancelQuery != "":
+		return &schema.Frame{Body: &schema.Frame_JobInquiry{JobInquiry: &schema.JobInquiry{Job: m.CancelQuery, Leaves: true}}}
 	default:
-		return &schema.Frame{Body: &schema.Frame_JobNews{JobNews: &schema.JobNews{Job: m.Over, Try: m.Try}}}
+		return &schema.Frame{Body: &schema.Frame_JobNews{JobNews: &schema.JobNews{Job: m.NotRunning, Try: m.Attempt}}}
 	}
 }
 
@@ -305,8 +305,8 @@
 	return &schema.Frame{Body: &schema.Frame_JobNews{JobNews: &schema.JobNews{Job: job, Status: uint32(s)}}}
 }
 
-func tryFromWire(address string, incarnation, number uint64) arbiter.Try {
-	return arbiter.Try{Process: processFromWire(address, incarnation), Number: number}
+func tryFromWire(address string, incarnation, number uint64) arbiter.Attempt {
+	return arbiter.Attempt{Process: processFromWire(address, incarnation), Number: number}
 }
 
 // processFromWire is the inverse of a process's address and incarnation; the zero value where no
--- a/internal/node/title.go
+++ b/internal/node/title.go
@@ -41,10 +41,10 @@
 
 // writeTitle writes this daemon's title. One that got no answer is found by reading.
 func (n *Node) writeTitle() error {
-	key := n.keeper.ledger.Title()
+	key := n.keeper.ledger.OwnershipKey()
 	r, err := n.platform.Ledger.Write(n.ctx, ledger.Change{
 		Require: []ledger.Entry{{Key: key}},
-		Set:     []ledger.Entry{{Key: key, Value: ledger.EncodeTitle(n.self.Process, n.self.Name)}},
+		Set:     []ledger.Entry{{Key: key, Value: ledger.EncodeOwnership(n.self.Process, n.self.Name)}},
 	})
 	if err != nil {
 		return err
@@ -58,7 +58,7 @@
 		revision = e.Revision
 	}
 	n.do(func(now time.Duration) {
-		n.keeper.ledger.Titled(revision)
+		n.keeper.ledger.SetOwnershipRevision(revision)
 		n.keeper.title.provedAt = now
 	})
 	n.log.WithFields(logrus.Fields{"event": "title_written", "revision": revision}).Info()
@@ -75,7 +75,7 @@
 	if n.lastDo > 0 && gap > gapTime {
 		t := &n.keeper.title
 		t.doubtUntil, t.provedAt, t.gapAt = now+doubtTime, now, now
-		n.coordinator.Hold(now, n.keeper.ledger.Len() > 0)
+		n.coordinator.PauseDurable(now, n.keeper.ledger.Len() > 0)
 		wake(t.wake)
 	}
 	n.lastDo = now
@@ -88,7 +88,7 @@
 		t.provedAt, t.gapAt = max(t.provedAt, now), 0
 	}
 	proved := t.gapAt == 0 && now-t.provedAt < titleAge
-	n.coordinator.Hold(now, !proved)
+	n.coordinator.PauseDurable(now, !proved)
 	if proved {
 		t.withdrawn = false
 		return
@@ -96,7 +96,7 @@
 	if !t.withdrawn && now-t.provedAt >= titleAge {
 		t.withdrawn = true
 		n.log.WithFields(logrus.Fields{"event": "title_unproved", "jobs": n.keeper.ledger.Len()}).Warn()
-		n.coordinator.WithdrawKept(now)
+		n.coordinator.WithdrawDurable(now)
 	}
 }
 
@@ -106,7 +106,7 @@
 		n.mu.Lock()
 		began := n.clock.now()
 		needed := began < n.keeper.title.doubtUntil && n.keeper.ledger.Len() > 0
-		key, revision := n.keeper.ledger.Title(), n.keeper.ledger.TitleRevision()
+		key, revision := n.keeper.ledger.OwnershipKey(), n.keeper.ledger.OwnershipRevision()
 		n.mu.Unlock()
 		if needed && revision > 0 {
 			n.verifyOnce(began, key, revision)
@@ -130,14 +130,14 @@
 	n.do(func(now time.Duration) {
 		k := &n.keeper
 		switch {
-		case k.ledger.TitleRevision() != revision:
+		case k.ledger.OwnershipRevision() != revision:
 		case e.Revision == revision:
 			k.title.provedAt = max(k.title.provedAt, began)
 			if began >= k.title.gapAt {
 				k.title.gapAt = 0
 			}
 		default:
-			news := k.ledger.Fenced()
+			news := k.ledger.HandleFenced()
 			n.fenced(now)
 			n.learn(now, news)
 		}
@@ -157,15 +157,15 @@
 	ctx, cancel := context.WithTimeout(ctx, resignTimeout)
 	defer cancel()
 	n.mu.Lock()
-	key, revision, left := n.keeper.ledger.Title(), n.keeper.ledger.TitleRevision(), n.keeper.ledger.Len()
+	key, revision, left := n.keeper.ledger.OwnershipKey(), n.keeper.ledger.OwnershipRevision(), n.keeper.ledger.Len()
 	n.mu.Unlock()
 	if revision == 0 {
 		return
 	}
-	r, err := n.platform.Ledger.Write(ctx, ledger.Removal(ledger.Entry{Key: key, Revision: revision}))
+	r, err := n.platform.Ledger.Write(ctx, ledger.OwnershipRemoval(ledger.Entry{Key: key, Revision: revision}))
 	n.log.WithFields(logrus.Fields{"event": "title_resigned", "done": err == nil && r.Revision > 0, "jobs": left}).Info()
 	n.do(func(now time.Duration) {
-		n.coordinator.Resign()
-		n.learn(now, n.keeper.ledger.Fenced())
+		n.coordinator.DropDurableJobs()
+		n.learn(now, n.keeper.ledger.HandleFenced())
 	})
 }
--- a/internal/node/writes.go
+++ b/internal/node/writes.go
@@ -28,11 +28,11 @@
 
 // progressed hands the progress of a kept job to the ledger.
 func (n *Node) progressed(now time.Duration, id string) {
-	version, tasks := n.coordinator.Version(id)
+	version, tasks := n.coordinator.Progress(id)
 	if tasks == nil {
 		return // its answer ends it
 	}
-	n.keeper.ledger.Progress(now, id, version, tasks)
+	n.keeper.ledger.UpdateProgress(now, id, version, tasks)
 }
 
 // endKept hands the end of a kept job to the ledger.
@@ -49,7 +49,7 @@
 	k := &n.keeper
 	gap := n.writeGap()
 	for k.writes < maxWrites && now >= k.next-writeBurst*gap {
-		b, ok := k.ledger.Next(now)
+		b, ok := k.ledger.NextBatch(now)
 		if !ok {
 			return
 		}
@@ -78,15 +78,15 @@
 	n.do(func(now time.Duration) {
 		k := &n.keeper
 		k.writes--
-		var news []ledger.News
+		var news []ledger.Event
 		var fenced bool
 		switch {
 		case err == nil:
-			news, fenced = k.ledger.Written(now, b, r)
-		case errors.Is(err, ledger.ErrNotDone):
-			news = k.ledger.NotDone(now, b)
+			news, fenced = k.ledger.HandleResult(now, b, r)
+		case errors.Is(err, ledger.ErrNotWritten):
+			news = k.ledger.HandleNotWritten(now, b)
 		default:
-			news = k.ledger.Unanswered(now, b)
+			news = k.ledger.HandleNoAnswer(now, b)
 		}
 		if err != nil {
 			k.next = max(k.next, now) + writePause + writeBurst*n.writeGap()
@@ -99,7 +99,7 @@
 }
 
 // learn acts on what became of jobs in the store, and tells peers. The lock is held.
-func (n *Node) learn(now time.Duration, news []ledger.News) {
+func (n *Node) learn(now time.Duration, news []ledger.Event) {
 	var told []*schema.JobState
 	for _, x := range news {
 		id := x.Record.Job.ID
@@ -121,31 +121,31 @@
 
 // learnOne acts on the news of one job and returns the state that it is in by it; 0 when
 // that is not certain or nothing new.
-func (n *Node) learnOne(now time.Duration, id string, x ledger.News) ledger.State {
-	if x.Kind != ledger.Persisted {
+func (n *Node) learnOne(now time.Duration, id string, x ledger.Event) ledger.State {
+	if x.Kind != ledger.ProgressStored {
 		n.logNews(id, x)
 	}
 	switch x.Kind {
-	case ledger.Stored, ledger.Adopted:
+	case ledger.Stored, ledger.TakenOver:
 		if x.State != 0 {
 			return 0 // canceled on its way; its end is stored next
 		}
 		j := x.Record.Job
-		if x.Kind == ledger.Adopted {
+		if x.Kind == ledger.TakenOver {
 			j.Progress = inherited(x.Record)
 		}
 		n.coordinator.Submit(now, j)
 		return ledger.Queued
-	case ledger.Persisted:
-		n.coordinator.Persisted(id, x.Version, false)
+	case ledger.ProgressStored:
+		n.coordinator.HandlePersisted(id, x.Version, false)
 	case ledger.Ended:
 		if x.State == ledger.Canceled {
 			n.coordinator.Cancel(now, id)
 		}
-		n.coordinator.Persisted(id, x.Version, true)
+		n.coordinator.HandlePersisted(id, x.Version, true)
 		return x.State
-	case ledger.Lost:
-		n.coordinator.Disown(id)
+	case ledger.OwnershipLost:
+		n.coordinator.DropJob(id)
 		n.keeper.states.remove(id)
 	}
 	return 0
@@ -194,7 +194,7 @@
 				if len(states) > 0 {
 					n.useLedger()
 				}
-				n.executor.Resolve(later, now, func(job string) executor.JobState { return states[job] })
+				n.executor.ApplyJobStates(later, now, func(job string) executor.JobState { return states[job] })
 			}
 		})
 		if err != nil && n.ctx.Err() == nil {
@@ -229,7 +229,7 @@
 		if err != nil {
 			return nil, err
 		}
-		states[job] = executor.JobNotKept
+		states[job] = executor.JobNotDurable
 		if e.Revision > 0 {
 			states[job] = executor.JobEnded
 		}
@@ -237,7 +237,7 @@
 	return states, nil
 }
 
-func (n *Node) logNews(id string, x ledger.News) {
+func (n *Node) logNews(id string, x ledger.Event) {
 	fields := logrus.Fields{"event": "job_" + x.Kind.String(), "job": id, "route": x.Record.Route}
 	if x.State != 0 {
 		fields["state"] = x.State
--- a/ledger/heir.go
+++ b/ledger/heir.go
@@ -12,10 +12,10 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// Heir returns the member that looks after something whose owner is gone (rendezvous
+// Successor returns the member that looks after something whose owner is gone (rendezvous
 // hashing). Members with equal views agree on it; where they don't, the conditions of
 // the writes decide.
-func Heir(of string, members []member.Process) (heir member.Process) {
+func Successor(of string, members []member.Process) (heir member.Process) {
 	var best uint64
 	for _, m := range members {
 		var b [8]byte
@@ -32,13 +32,13 @@
 	return heir
 }
 
-// EncodeTitle returns a title as it is stored.
-func EncodeTitle(p member.Process, name string) []byte {
+// EncodeOwnership returns a title as it is stored.
+func EncodeOwnership(p member.Process, name string) []byte {
 	return encode(&schema.OwnerRecord{Address: p.Address.String(), Incarnation: p.Incarnation, Name: name})
 }
 
-// DecodeTitle returns a title's owner.
-func DecodeTitle(b []byte) (member.Process, error) {
+// DecodeOwnership returns a title's owner.
+func DecodeOwnership(b []byte) (member.Process, error) {
 	var o schema.OwnerRecord
 	if err := proto.Unmarshal(b, &o); err != nil {
 		return member.Process{}, errors.Wrap(err, "decoding an owner's title")
@@ -47,7 +47,7 @@
 	return member.Process{Address: a, Incarnation: o.GetIncarnation()}, errors.Wrap(err, "decoding an owner's title")
 }
 
-// Removal returns the change that removes an owner's title as it was read.
-func Removal(title Entry) Change {
+// OwnershipRemoval returns the change that removes an owner's title as it was read.
+func OwnershipRemoval(title Entry) Change {
 	return Change{Require: []Entry{{Key: title.Key, Revision: title.Revision}}, Remove: []Key{title.Key}}
 }
