--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -22,9 +22,9 @@
 
 // Config holds what a Ledger is told.
 type Config struct {
-	// Owner is this process's incarnation; Title is the name of its title. Required.
-	Owner uint64
-	Title string
+	// Owner is this process's incarnation; OwnershipID is the name of its title. Required.
+	Owner       uint64
+	OwnershipID string
 	// Retention is how long the state of an ended job stays.
 	Retention time.Duration
 	// Now is the time of day, by which states of daemons that are gone are removed.
@@ -32,31 +32,31 @@
 	Now func() time.Time
 }
 
-// NewsKind is what became of a job in the store.
-type NewsKind uint8
+// EventKind is what became of a job in the store.
+type EventKind uint8
 
 // Kinds of news.
 const (
 	// Stored: the job is accepted.
-	Stored NewsKind = iota + 1
+	Stored EventKind = iota + 1
 	// Duplicate: the job was accepted before, here or elsewhere.
 	Duplicate
 	// Rejected: the job is not stored and never will be.
 	Rejected
-	// Doubtful: the job may be stored; the ledger tries on until it knows.
-	Doubtful
-	// Adopted: the job is this daemon's from now on.
-	Adopted
-	// Persisted: progress up to Version is stored.
-	Persisted
+	// Uncertain: the job may be stored; the ledger tries on until it knows.
+	Uncertain
+	// TakenOver: the job is this daemon's from now on.
+	TakenOver
+	// ProgressStored: progress up to Version is stored.
+	ProgressStored
 	// Ended: the final state is stored.
 	Ended
-	// Lost: the job is another daemon's, or was canceled by one.
-	Lost
+	// OwnershipLost: the job is another daemon's, or was canceled by one.
+	OwnershipLost
 )
 
 // String returns the kind's name in logs and counters.
-func (k NewsKind) String() string {
+func (k EventKind) String() string {
 	names := [...]string{"none", "stored", "duplicate", "rejected", "doubtful", "adopted", "persisted", "ended", "lost"}
 	if int(k) < len(names) {
 		return names[k]
@@ -64,9 +64,9 @@
 	return names[0]
 }
 
-// News tells what became of a job.
-type News struct {
-	Kind   NewsKind
+// Event tells what became of a job.
+type Event struct {
+	Kind   EventKind
 	Record Record
 	// Version is that of the stored progress.
 	Version uint64
@@ -123,14 +123,14 @@
 	return &Ledger{config: c, jobs: make(map[string]*entry)}
 }
 
-// Title returns the key of this process's title.
-func (l *Ledger) Title() Key { return Key{TitleEntry, l.config.Title} }
+// OwnershipKey returns the key of this process's title.
+func (l *Ledger) OwnershipKey() Key { return Key{OwnershipEntry, l.config.OwnershipID} }
 
-// Titled tells that the title was written. Before that nothing is.
-func (l *Ledger) Titled(revision int64) { l.title = revision }
+// SetOwnershipRevision tells that the title was written. Before that nothing is.
+func (l *Ledger) SetOwnershipRevision(revision int64) { l.title = revision }
 
-// TitleRevision returns the revision of the title; 0: there is none.
-func (l *Ledger) TitleRevision() int64 { return l.title }
+// OwnershipRevision returns the revision of the title; 0: there is none.
+func (l *Ledger) OwnershipRevision() int64 { return l.title }
 
 // Len returns the number of jobs that have not ended.
 func (l *Ledger) Len() int { return len(l.jobs) }
@@ -159,8 +159,8 @@
 	l.enqueue(r.Job.ID, now)
 }
 
-// Adopt takes over a job of another owner, whose record is at the given revision.
-func (l *Ledger) Adopt(now time.Duration, r Record, revision int64) {
+// TakeOver takes over a job of another owner, whose record is at the given revision.
+func (l *Ledger) TakeOver(now time.Duration, r Record, revision int64) {
 	if l.Has(r.Job.ID) {
 		return
 	}
@@ -169,8 +169,8 @@
 	l.enqueue(r.Job.ID, now)
 }
 
-// Progress notes the progress of a job. Version grows with each change.
-func (l *Ledger) Progress(now time.Duration, id string, version uint64, tasks []coordinator.Progress) {
+// UpdateProgress notes the progress of a job. Version grows with each change.
+func (l *Ledger) UpdateProgress(now time.Duration, id string, version uint64, tasks []coordinator.Progress) {
 	e := l.jobs[id]
 	if e == nil || e.end != 0 {
 		return
@@ -216,13 +216,13 @@
 	expired []expiry
 }
 
-// Next returns the next batch to write; false when there is none now.
-func (l *Ledger) Next(now time.Duration) (Batch, bool) {
+// NextBatch returns the next batch to write; false when there is none now.
+func (l *Ledger) NextBatch(now time.Duration) (Batch, bool) {
 	var b Batch
 	if l.title == 0 {
 		return b, false
 	}
-	b.Change.Require = []Entry{{Key: l.Title(), Revision: l.title}}
+	b.Change.Require = []Entry{{Key: l.OwnershipKey(), Revision: l.title}}
 	rest := l.queue[:0]
 	for _, id := range l.queue {
 		e := l.jobs[id]
--- a/ledger/outcome.go
+++ b/ledger/outcome.go
@@ -8,9 +8,9 @@
 // takeBack keeps the states of a failed batch for a later one.
 func (l *Ledger) takeBack(b Batch) { l.ended = append(slices.Clone(b.expired), l.ended...) }
 
-// Written takes the store's answer to a batch. fenced tells that the title is gone: the
+// HandleResult takes the store's answer to a batch. fenced tells that the title is gone: the
 // jobs are others' from now on, and the ledger is empty.
-func (l *Ledger) Written(now time.Duration, b Batch, r Result) (news []News, fenced bool) {
+func (l *Ledger) HandleResult(now time.Duration, b Batch, r Result) (news []Event, fenced bool) {
 	if r.Revision == 0 {
 		return l.refused(now, b, r.Current)
 	}
@@ -22,14 +22,14 @@
 	return news, false
 }
 
-func (l *Ledger) written(now time.Duration, p part, e *entry, revision int64) []News {
+func (l *Ledger) written(now time.Duration, p part, e *entry, revision int64) []Event {
 	e.inFlight, e.tried, e.revision = false, false, revision
-	n := News{Record: e.record, Version: p.version}
+	n := Event{Record: e.record, Version: p.version}
 	switch p.phase {
 	case adding, adopting:
 		n.Kind = Stored
 		if p.phase == adopting {
-			n.Kind = Adopted
+			n.Kind = TakenOver
 		}
 		e.phase = kept
 		if e.end != 0 { // canceled before it was stored
@@ -41,17 +41,17 @@
 		l.drop(p.id)
 		l.ended = append(l.ended, expiry{p.id, now + l.config.Retention})
 	default:
-		n.Kind = Persisted
+		n.Kind = ProgressStored
 		if e.end != 0 {
 			e.phase = ending
 		}
 	}
-	return []News{n}
+	return []Event{n}
 }
 
-// Unanswered takes back a batch that got no answer: it is written again, until the store
+// HandleNoAnswer takes back a batch that got no answer: it is written again, until the store
 // has said what is so.
-func (l *Ledger) Unanswered(now time.Duration, b Batch) (news []News) {
+func (l *Ledger) HandleNoAnswer(now time.Duration, b Batch) (news []Event) {
 	l.takeBack(b)
 	for _, p := range b.parts {
 		e := l.jobs[p.id]
@@ -62,15 +62,15 @@
 		e.tries++
 		l.again(now, p.id, e)
 		if p.phase == adding && e.tries >= triesToDoubt {
-			news = append(news, News{Kind: Doubtful, Record: e.record})
+			news = append(news, Event{Kind: Uncertain, Record: e.record})
 		}
 	}
 	return news
 }
 
-// NotDone takes back a batch that the store refused to look at. New jobs that were
+// HandleNotWritten takes back a batch that the store refused to look at. New jobs that were
 // never on their way are rejected.
-func (l *Ledger) NotDone(now time.Duration, b Batch) (news []News) {
+func (l *Ledger) HandleNotWritten(now time.Duration, b Batch) (news []Event) {
 	l.takeBack(b)
 	for _, p := range b.parts {
 		e := l.jobs[p.id]
@@ -78,7 +78,7 @@
 		case e == nil:
 		case p.phase == adding && !e.tried:
 			l.drop(p.id)
-			news = append(news, News{Kind: Rejected, Record: e.record})
+			news = append(news, Event{Kind: Rejected, Record: e.record})
 		default:
 			l.again(now, p.id, e)
 		}
@@ -95,14 +95,14 @@
 }
 
 // refused finds out which condition did not hold.
-func (l *Ledger) refused(now time.Duration, b Batch, current []Entry) (news []News, fenced bool) {
+func (l *Ledger) refused(now time.Duration, b Batch, current []Entry) (news []Event, fenced bool) {
 	l.takeBack(b)
 	at := make(map[Key]Entry, len(current))
 	for _, c := range current {
 		at[c.Key] = c
 	}
-	if at[l.Title()].Revision != l.title {
-		return l.Fenced(), true
+	if at[l.OwnershipKey()].Revision != l.title {
+		return l.HandleFenced(), true
 	}
 	for _, p := range b.parts {
 		e := l.jobs[p.id]
@@ -121,7 +121,7 @@
 
 // addRefused: someone has stored the job; perhaps it was this daemon, by a write that got
 // no answer.
-func (l *Ledger) addRefused(now time.Duration, p part, e *entry, state Entry) []News {
+func (l *Ledger) addRefused(now time.Duration, p part, e *entry, state Entry) []Event {
 	if state.Revision == 0 {
 		return nil
 	}
@@ -132,12 +132,12 @@
 		return l.written(now, p, e, state.Revision)
 	}
 	l.drop(p.id)
-	return []News{{Kind: Duplicate, Record: e.record, State: s}}
+	return []Event{{Kind: Duplicate, Record: e.record, State: s}}
 }
 
 // changeRefused: the record is not as this daemon left it. After a write without an
 // answer it may be that one; otherwise the job is somebody else's.
-func (l *Ledger) changeRefused(now time.Duration, p part, e *entry, record Entry) []News {
+func (l *Ledger) changeRefused(now time.Duration, p part, e *entry, record Entry) []Event {
 	if record.Revision == e.revision {
 		return nil
 	}
@@ -151,18 +151,18 @@
 		return l.written(now, p, e, e.revision)
 	}
 	l.drop(p.id)
-	return []News{{Kind: Lost, Record: e.record}}
+	return []Event{{Kind: OwnershipLost, Record: e.record}}
 }
 
-// Fenced empties the ledger: its jobs are others' now. New ones may still have been stored.
-func (l *Ledger) Fenced() []News {
-	news := make([]News, 0, len(l.jobs))
+// HandleFenced empties the ledger: its jobs are others' now. New ones may still have been stored.
+func (l *Ledger) HandleFenced() []Event {
+	news := make([]Event, 0, len(l.jobs))
 	for _, e := range l.jobs {
-		kind := Lost
+		kind := OwnershipLost
 		if e.phase == adding {
-			kind = Doubtful
+			kind = Uncertain
 		}
-		news = append(news, News{Kind: kind, Record: e.record})
+		news = append(news, Event{Kind: kind, Record: e.record})
 	}
 	l.title, l.queue = 0, nil
 	clear(l.jobs)
--- a/ledger/store.go
+++ b/ledger/store.go
@@ -8,10 +8,10 @@
 
 // Errors of a Store.
 var (
-	// ErrNotDone: the store answered that it did nothing.
-	ErrNotDone = errors.New("not written")
-	// ErrUnknown: no answer; a write may have taken effect, or may yet.
-	ErrUnknown = errors.New("unknown whether written")
+	// ErrNotWritten: the store answered that it did nothing.
+	ErrNotWritten = errors.New("not written")
+	// ErrOutcomeUnknown: no answer; a write may have taken effect, or may yet.
+	ErrOutcomeUnknown = errors.New("unknown whether written")
 )
 
 // Kind is the kind of an entry.
@@ -23,8 +23,8 @@
 	RecordEntry Kind = iota + 1
 	// StateEntry: the state of a job, by the job's ID.
 	StateEntry
-	// TitleEntry: an owner's title, by the owner's name.
-	TitleEntry
+	// OwnershipEntry: an owner's title, by the owner's name.
+	OwnershipEntry
 )
 
 // Key names an entry.
@@ -62,7 +62,7 @@
 
 // Store is the shared store.
 type Store interface {
-	// Write applies a change. Errors are ErrNotDone or ErrUnknown.
+	// Write applies a change. Errors are ErrNotWritten or ErrOutcomeUnknown.
 	Write(ctx context.Context, c Change) (Result, error)
 	// Get reads one entry; its revision is 0 when there is none.
 	Get(ctx context.Context, k Key) (Entry, error)
--- a/member/leaving.go
+++ b/member/leaving.go
@@ -10,7 +10,7 @@
 	noticeTerm = 10 * time.Minute
 )
 
-// Leaving holds the workers that said, to this entry or a peer, that they are leaving.
+// LeavingWorkers holds the workers that said, to this entry or a peer, that they are leaving.
 // The VM list shows it later, or not at all while the platform is cut off.
 //
 // A notice ends when a newer list no longer shows the worker; when the list showed it
@@ -18,7 +18,7 @@
 // when a list that arrives long after the notice still does not confirm it. A worker
 // that is still leaving then refuses its next task and is noticed again. It is not
 // safe for concurrent use.
-type Leaving struct {
+type LeavingWorkers struct {
 	notices map[string]notice
 	// ended holds when the workers of ended notices had said it, so that peers that
 	// have not yet ended theirs don't bring them back.
@@ -35,14 +35,14 @@
 	listed, confirmed bool
 }
 
-// NewLeaving returns an empty set.
-func NewLeaving() *Leaving {
-	return &Leaving{notices: make(map[string]notice), ended: make(map[string]time.Duration)}
+// NewLeavingWorkers returns an empty set.
+func NewLeavingWorkers() *LeavingWorkers {
+	return &LeavingWorkers{notices: make(map[string]notice), ended: make(map[string]time.Duration)}
 }
 
-// Notice takes in that a worker said that it is leaving, some time ago, and tells
+// Add takes in that a worker said that it is leaving, some time ago, and tells
 // whether that is news.
-func (l *Leaving) Notice(now time.Duration, worker string, age time.Duration) bool {
+func (l *LeavingWorkers) Add(now time.Duration, worker string, age time.Duration) bool {
 	said := now - age
 	if end, ok := l.ended[worker]; ok && said <= end+sameNotice {
 		return false
@@ -57,21 +57,21 @@
 }
 
 // Has tells whether a worker is noticed as leaving.
-func (l *Leaving) Has(worker string) bool {
+func (l *LeavingWorkers) Has(worker string) bool {
 	_, ok := l.notices[worker]
 	return ok
 }
 
 // All calls fn for every leaving worker with the time since it said so.
-func (l *Leaving) All(now time.Duration, fn func(worker string, age time.Duration)) {
+func (l *LeavingWorkers) All(now time.Duration, fn func(worker string, age time.Duration)) {
 	for w, n := range l.notices {
 		fn(w, now-n.said)
 	}
 }
 
-// List takes in a VM list: its workers, and whether each is shown as leaving. A
+// ApplyVMList takes in a VM list: its workers, and whether each is shown as leaving. A
 // version that is not newer changes nothing.
-func (l *Leaving) List(now time.Duration, version uint64, workers map[string]bool) {
+func (l *LeavingWorkers) ApplyVMList(now time.Duration, version uint64, workers map[string]bool) {
 	if version <= l.version {
 		return
 	}
--- a/member/liveness.go
+++ b/member/liveness.go
@@ -52,7 +52,7 @@
 	// It lives, also when a late heartbeat of a former process made it look replaced.
 	s.heard, s.clock, s.replaced = now, p.Clock, 0
 	// A longer deadline that was allowed before is still to be waited for.
-	s.settle = max(s.settle, p.Settle)
+	s.settle = max(s.settle, p.IdentifierLifetime)
 	v.past[process] = s
 }
 
--- a/member/pace.go
+++ b/member/pace.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// PaceConfig holds the settings of a pace.
-type PaceConfig struct {
+// HeartbeatScheduleConfig holds the settings of a pace.
+type HeartbeatScheduleConfig struct {
 	// Domain is this entry's failure domain.
 	Domain string
 	// Interval is the time between two exchanges with a peer of the same failure
@@ -16,23 +16,23 @@
 	RemoteInterval time.Duration
 }
 
-// Pace decides when a heartbeat to a peer is due.
+// HeartbeatSchedule decides when a heartbeat to a peer is due.
 //
 // A heartbeat and its answer tell both ends the same, so one exchange per interval
 // and pair is enough: an entry leaves its heartbeat out when the peer's own came in
 // meanwhile. When the peer's stop coming, its own are due again at once, over its own
 // connection, so a path that works in one direction only is still noticed.
-type Pace struct {
-	config PaceConfig
+type HeartbeatSchedule struct {
+	config HeartbeatScheduleConfig
 	// exchanged is the time of the latest exchange, failed of the latest attempt that
 	// failed since.
 	exchanged map[netip.AddrPort]time.Duration
 	failed    map[netip.AddrPort]time.Duration
 }
 
-// NewPace returns a pace without exchanges: every peer is due.
-func NewPace(c PaceConfig) *Pace {
-	return &Pace{
+// NewHeartbeatSchedule returns a pace without exchanges: every peer is due.
+func NewHeartbeatSchedule(c HeartbeatScheduleConfig) *HeartbeatSchedule {
+	return &HeartbeatSchedule{
 		config:    c,
 		exchanged: make(map[netip.AddrPort]time.Duration),
 		failed:    make(map[netip.AddrPort]time.Duration),
@@ -45,7 +45,7 @@
 
 // Due tells whether a heartbeat to a peer is due; alive says whether the view holds it
 // alive. A domain that is not known yet counts as the own.
-func (p *Pace) Due(now time.Duration, peer netip.AddrPort, domain string, alive bool) bool {
+func (p *HeartbeatSchedule) Due(now time.Duration, peer netip.AddrPort, domain string, alive bool) bool {
 	interval := p.config.Interval
 	if domain != "" && domain != p.config.Domain {
 		interval = p.config.RemoteInterval
@@ -61,19 +61,19 @@
 	return !ok || now-at >= interval-p.config.Interval/earlyShare
 }
 
-// Exchanged notes a heartbeat that was answered, or a peer's that came in.
-func (p *Pace) Exchanged(now time.Duration, peer netip.AddrPort) {
+// HandleExchange notes a heartbeat that was answered, or a peer's that came in.
+func (p *HeartbeatSchedule) HandleExchange(now time.Duration, peer netip.AddrPort) {
 	p.exchanged[peer] = now
 	delete(p.failed, peer)
 }
 
-// Failed notes a heartbeat without an answer.
-func (p *Pace) Failed(now time.Duration, peer netip.AddrPort) {
+// HandleFailure notes a heartbeat without an answer.
+func (p *HeartbeatSchedule) HandleFailure(now time.Duration, peer netip.AddrPort) {
 	p.failed[peer] = now
 }
 
-// Keep forgets the peers that are not listed.
-func (p *Pace) Keep(peers []netip.AddrPort) {
+// RemoveUnlisted forgets the peers that are not listed.
+func (p *HeartbeatSchedule) RemoveUnlisted(peers []netip.AddrPort) {
 	listed := make(map[netip.AddrPort]bool, len(peers))
 	for _, a := range peers {
 		listed[a] = true
--- a/member/view.go
+++ b/member/view.go
@@ -26,15 +26,15 @@
 	Address     netip.AddrPort
 	Incarnation uint64
 	Domain      string
-	// Heard is the time of the latest heartbeat.
-	Heard time.Duration
+	// LastHeartbeat is the time of the latest heartbeat.
+	LastHeartbeat time.Duration
 	// Stopping is set once the peer handed back its slots.
 	Stopping bool
 	// Clock is the peer's own time at its latest heartbeat, on which it mints
-	// identifiers, and Settle the time after an identifier's minting after which it
+	// identifiers, and IdentifierLifetime the time after an identifier's minting after which it
 	// neither starts its job nor tells an answer of it.
-	Clock  time.Duration
-	Settle time.Duration
+	Clock              time.Duration
+	IdentifierLifetime time.Duration
 	// FreeSlots is how many slots the peer could lend at its latest heartbeat.
 	FreeSlots int
 	// ConfigRevision and VMListVersion are those in force at the peer.
@@ -114,32 +114,32 @@
 	return v.peers[a] != nil
 }
 
-// Heard takes in a peer's heartbeat and tells whether the set of live peers changed.
-func (v *View) Heard(now time.Duration, p Peer) (changed bool) {
+// HandleHeartbeat takes in a peer's heartbeat and tells whether the set of live peers changed.
+func (v *View) HandleHeartbeat(now time.Duration, p Peer) (changed bool) {
 	if p.Address == v.config.Self {
 		return false
 	}
 	old := v.peers[p.Address]
 	changed = old == nil || !v.live(old, now) || old.Incarnation != p.Incarnation || old.Stopping != p.Stopping
-	p.Heard = now
+	p.LastHeartbeat = now
 	v.peers[p.Address] = &p
 	v.sight(now, &p)
 	return changed
 }
 
-// Paused tells that this entry itself stood still for a time: the silence of its
+// HandlePause tells that this entry itself stood still for a time: the silence of its
 // peers meanwhile is not theirs. Without this an entry that wakes would count all of
 // them as dead and take all slots for its own.
-func (v *View) Paused(now, d time.Duration) {
+func (v *View) HandlePause(now, d time.Duration) {
 	for _, p := range v.peers {
-		p.Heard = min(p.Heard+d, now)
+		p.LastHeartbeat = min(p.LastHeartbeat+d, now)
 	}
 }
 
-// HeardSince tells whether every live peer was heard at a time or later.
-func (v *View) HeardSince(t time.Duration) bool {
+// AllHeardSince tells whether every live peer was heard at a time or later.
+func (v *View) AllHeardSince(t time.Duration) bool {
 	for _, p := range v.peers {
-		if p.Heard < t {
+		if p.LastHeartbeat < t {
 			return false
 		}
 	}
@@ -160,9 +160,9 @@
 
 func (v *View) live(p *Peer, now time.Duration) bool {
 	if p.Domain != v.config.Domain {
-		return now-p.Heard <= v.config.RemoteTimeout
+		return now-p.LastHeartbeat <= v.config.RemoteTimeout
 	}
-	return now-p.Heard <= v.config.Timeout
+	return now-p.LastHeartbeat <= v.config.Timeout
 }
 
 // Peer returns the live peer at an address, nil when there is none.
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -2,7 +2,7 @@
 // asks another one for a request.
 //
 // Each entry tells its peers its demand on heartbeats and computes its own share from
-// what it heard: Share for a rate, Slots for a number of running tasks. With equal
+// what it heard: RateShare for a rate, TaskShare for a number of running tasks. With equal
 // views the shares add up to the limit at most. Limiter holds a team to this entry's
 // share of its quota.
 //
--- a/quota/share.go
+++ b/quota/share.go
@@ -28,8 +28,8 @@
 	Live []Entry
 }
 
-// Share returns this entry's share of a limit, at most the whole limit.
-func Share(limit float64, v View) float64 {
+// RateShare returns this entry's share of a limit, at most the whole limit.
+func RateShare(limit float64, v View) float64 {
 	visible := 0
 	for _, heard := range v.heard() {
 		if heard {
@@ -42,10 +42,10 @@
 	return limit * float64(visible) / float64(len(v.heard())) * v.weight(v.index())
 }
 
-// Slots returns this entry's share of a number of tasks. Shares are whole: what is
+// TaskShare returns this entry's share of a number of tasks. Shares are whole: what is
 // left over goes to the largest remainders, so that the shares of equal views add up
 // to the limit or, while a failure domain is not heard, to the others' part of it.
-func Slots(limit int, v View) int {
+func TaskShare(limit int, v View) int {
 	heard := v.heard()
 	part := 0
 	for at, h := range heard {
@@ -129,8 +129,8 @@
 	return floorPart/n + (1-floorPart)*v.Live[at].Demand/sum
 }
 
-// Demand smooths an entry's own demand and holds it back by one period: Told is for
-// the peers, Own for the entry's own computation.
+// Demand smooths an entry's own demand and holds it back by one period: Reported is for
+// the peers, Delayed for the entry's own computation.
 type Demand struct {
 	told float64
 	own  float64
@@ -145,8 +145,8 @@
 	d.told += smoothing * (demand - d.told)
 }
 
-// Told returns what the peers are told.
-func (d *Demand) Told() float64 { return d.told }
+// Reported returns what the peers are told.
+func (d *Demand) Reported() float64 { return d.told }
 
-// Own returns what the peers have been told for a period.
-func (d *Demand) Own() float64 { return d.own }
+// Delayed returns what the peers have been told for a period.
+func (d *Demand) Delayed() float64 { return d.own }
--- a/registry/catchup.go
+++ b/registry/catchup.go
@@ -25,22 +25,22 @@
 	copyShare = 0.66
 )
 
-// Source is a peer that may be asked for a newer configuration.
-type Source struct {
+// ConfigSource is a peer that may be asked for a newer configuration.
+type ConfigSource struct {
 	member.Process
 	// Version that the peer has told.
 	Version uint64
-	// Near: it is of the own failure domain.
-	Near bool
+	// SameDomain: it is of the own failure domain.
+	SameDomain bool
 }
 
-// Catchup decides from whom a daemon takes a configuration that its peers have and it
+// ConfigFetcher decides from whom a daemon takes a configuration that its peers have and it
 // doesn't, because the store turns it away or is slow. One peer is asked at a time.
 // Peers that sent theirs unasked would do it all at once, for a difference of
 // milliseconds between the store's answers: 33 daemons sent 1,056 copies, heartbeats
 // waited behind them, and whole fleets lost sight of each other.
 // The zero value is ready for use; it is not safe for concurrent use.
-type Catchup struct {
+type ConfigFetcher struct {
 	// behindSince is when a peer was first seen to be ahead of the version had; 0: none is.
 	behindSince time.Duration
 	had         uint64
@@ -48,9 +48,9 @@
 	askedAt     time.Duration
 }
 
-// Next returns the peer to ask now, if any, by the version that the daemon has and those
+// NextSource returns the peer to ask now, if any, by the version that the daemon has and those
 // of its peers. storeLost: the store is known not to answer this daemon.
-func (c *Catchup) Next(now time.Duration, self member.Process, has uint64, storeLost bool, peers []Source) (member.Process, bool) {
+func (c *ConfigFetcher) NextSource(now time.Duration, self member.Process, has uint64, storeLost bool, peers []ConfigSource) (member.Process, bool) {
 	newest := has
 	for _, p := range peers {
 		newest = max(newest, p.Version)
@@ -69,15 +69,15 @@
 	return c.asked, true
 }
 
-// Arrived tells that a copy came: if it is not the newest by now, another is asked for
+// HandleCopy tells that a copy came: if it is not the newest by now, another is asked for
 // without the pause.
-func (c *Catchup) Arrived() { c.asked = member.Process{} }
+func (c *ConfigFetcher) HandleCopy() { c.asked = member.Process{} }
 
 // choose returns one of the peers with the newest version, of the own failure domain if
 // there is one, but for the one asked last: it may have too many to serve. Daemons choose
 // differently.
-func choose(self member.Process, newest uint64, last member.Process, peers []Source) member.Process {
-	var best Source
+func choose(self member.Process, newest uint64, last member.Process, peers []ConfigSource) member.Process {
+	var best ConfigSource
 	var bestRate uint64
 	for _, p := range peers {
 		if p.Version < newest {
@@ -86,9 +86,9 @@
 		r := rate(self, p.Process)
 		switch {
 		case best.Process == (member.Process{}), best.Process == last:
-		case p.Process == last, best.Near && !p.Near:
+		case p.Process == last, best.SameDomain && !p.SameDomain:
 			continue
-		case p.Near == best.Near && r <= bestRate:
+		case p.SameDomain == best.SameDomain && r <= bestRate:
 			continue
 		}
 		best, bestRate = p, r
@@ -104,8 +104,8 @@
 	return xxhash.Sum64(pair[:])
 }
 
-// Copies bounds how many copies a daemon hands out. The zero value is ready for use.
-type Copies struct {
+// CopyLimiter bounds how many copies a daemon hands out. The zero value is ready for use.
+type CopyLimiter struct {
 	// Mbps is what the daemon's link carries, in megabits a second; 0: not known.
 	Mbps  float64
 	since time.Duration
@@ -113,9 +113,9 @@
 	sent int
 }
 
-// Take reports whether a copy of a number of bytes may be sent now; one may in each interval,
+// Allow reports whether a copy of a number of bytes may be sent now; one may in each interval,
 // whatever its size. Who gets none asks another peer.
-func (c *Copies) Take(now time.Duration, size int) bool {
+func (c *CopyLimiter) Allow(now time.Duration, size int) bool {
 	if now-c.since >= copyInterval {
 		c.since, c.sent = now, 0
 	}
@@ -127,7 +127,7 @@
 }
 
 // budget is how many bytes may be handed out in an interval.
-func (c *Copies) budget() int {
+func (c *CopyLimiter) budget() int {
 	const bytesPerMegabit = 1e6 / 8
 	return max(copiedAtOnce, int(c.Mbps*bytesPerMegabit*copyShare*copyInterval.Seconds()))
 }
--- a/registry/feed.go
+++ b/registry/feed.go
@@ -13,8 +13,8 @@
 var (
 	// ErrUnavailable: no answer, or a refusal; a write may have taken effect.
 	ErrUnavailable = errors.New("store unavailable")
-	// ErrForgotten: the store has dropped the history after the given revision.
-	ErrForgotten = errors.New("history forgotten")
+	// ErrCompacted: the store has dropped the history after the given revision.
+	ErrCompacted = errors.New("history forgotten")
 	// ErrNotFound: there is no such key or lease.
 	ErrNotFound = errors.New("not found in the store")
 )
@@ -52,7 +52,7 @@
 	// Read returns all entries and a revision to watch from.
 	Read(ctx context.Context) ([]Item, int64, error)
 	// Watch returns what changed after a revision, as soon as something has or when wait
-	// is over. ErrForgotten asks for a new Read.
+	// is over. ErrCompacted asks for a new Read.
 	Watch(ctx context.Context, after int64, wait time.Duration) (Changes, error)
 }
 
@@ -80,47 +80,47 @@
 type FollowConfig struct {
 	// Wait is how long a watch may wait.
 	Wait time.Duration
-	// Pace is the least time between two watches: where entries change all the time, a
+	// MinInterval is the least time between two watches: where entries change all the time, a
 	// watch would return at once, again and again, and each is paid for. An answer that was
 	// cut off is followed by the next without a pause. With one, a daemon that watches 3,000
 	// workers, which renew their entries 2,000 times a second, got 500 changes each 0.6 s,
 	// fell behind the store by more with every answer, and learned of a worker that leaves
 	// seconds after it had to stop using it.
-	Pace time.Duration
-	// Retry is the pause after a failure.
-	Retry time.Duration
+	MinInterval time.Duration
+	// RetryDelay is the pause after a failure.
+	RetryDelay time.Duration
 }
 
 // Follower takes what Follow learns.
 type Follower interface {
-	// Await returns when the feed is to be read or watched, and the revision up to which all is
+	// WaitUntilDue returns when the feed is to be read or watched, and the revision up to which all is
 	// known then: that of the last call, 0 at first, or a later one that was learned otherwise.
 	// 0 asks for a Read.
-	Await(ctx context.Context, revision int64) int64
-	// Snapshot takes all entries, and the revision up to which all is known by them.
-	Snapshot(items []Item, revision int64)
-	// Changed takes changes since the last call. Only what is known by an answer that was not
+	WaitUntilDue(ctx context.Context, revision int64) int64
+	// HandleSnapshot takes all entries, and the revision up to which all is known by them.
+	HandleSnapshot(items []Item, revision int64)
+	// HandleChanges takes changes since the last call. Only what is known by an answer that was not
 	// cut off is as new as the answer.
-	Changed(c Changes)
-	// Failed tells that the store gave no answer; Follow tries on.
-	Failed(err error)
+	HandleChanges(c Changes)
+	// HandleError tells that the store gave no answer; Follow tries on.
+	HandleError(err error)
 }
 
 // Follow reads a feed and watches it until ctx ends.
 func Follow(ctx context.Context, f Feed, c FollowConfig, to Follower) {
 	var revision int64
 	for ctx.Err() == nil {
-		revision = to.Await(ctx, revision)
+		revision = to.WaitUntilDue(ctx, revision)
 		began := time.Now()
 		next, more, err := step(ctx, f, c, to, revision)
 		revision = next
-		pause := c.Pace - time.Since(began)
+		pause := c.MinInterval - time.Since(began)
 		switch {
 		case err != nil && ctx.Err() != nil:
 			return
 		case err != nil:
-			to.Failed(err)
-			pause = c.Retry
+			to.HandleError(err)
+			pause = c.RetryDelay
 		case more:
 			pause = 0
 		}
@@ -136,17 +136,17 @@
 		if err != nil {
 			return 0, false, err
 		}
-		to.Snapshot(items, at)
+		to.HandleSnapshot(items, at)
 		return at, false, nil
 	}
 	changes, err := f.Watch(ctx, revision, c.Wait)
 	switch {
-	case errors.Is(err, ErrForgotten):
+	case errors.Is(err, ErrCompacted):
 		return 0, false, nil
 	case err != nil:
 		return revision, false, err
 	}
-	to.Changed(changes)
+	to.HandleChanges(changes)
 	return changes.Revision, changes.More, nil
 }
 
--- a/registry/relay.go
+++ b/registry/relay.go
@@ -35,29 +35,29 @@
 	chainPatience = 1300 * time.Millisecond
 )
 
-// Reader is a daemon that may read the store's entries for others.
-type Reader struct {
+// Relay is a daemon that may read the store's entries for others.
+type Relay struct {
 	member.Process
 	Domain string
 	// Weight is what it can carry, compared with others.
 	Weight float64
 }
 
-// Readers returns the daemons that are to read for all, a function of the inputs alone:
+// SelectRelays returns the daemons that are to read for all, a function of the inputs alone:
 // those that can carry most, of different failure domains if there are, as a domain may be
 // cut off as a whole. Each worker renews its entry every other second, so reading by all
 // costs the most where daemons and workers are many: with 1,100 workers an answer of 200 KB
 // every 0.6 s for each daemon, behind which, on a link of 25 Mbit/s, starts and ends of
 // tasks wait for 60 ms.
-func Readers(daemons []Reader) []member.Process {
+func SelectRelays(daemons []Relay) []member.Process {
 	sorted := slices.Clone(daemons)
-	slices.SortFunc(sorted, func(a, b Reader) int {
+	slices.SortFunc(sorted, func(a, b Relay) int {
 		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(place(a), place(b)), a.Address.Compare(b.Address))
 	})
-	var chosen []Reader
+	var chosen []Relay
 	for _, distinct := range []bool{true, false} {
 		for _, d := range sorted {
-			same := func(c Reader) bool { return c.Process == d.Process || distinct && c.Domain == d.Domain }
+			same := func(c Relay) bool { return c.Process == d.Process || distinct && c.Domain == d.Domain }
 			if len(chosen) < readersAtOnce && !slices.ContainsFunc(chosen, same) {
 				chosen = append(chosen, d)
 			}
@@ -71,16 +71,16 @@
 }
 
 // place spreads the reading over equal daemons; it outlives a restart.
-func place(r Reader) uint64 { return xxhash.Sum64String(r.Address.String()) }
+func place(r Relay) uint64 { return xxhash.Sum64String(r.Address.String()) }
 
-// Relayed reports whether some daemons read for all: in a fleet of so many linked ones, and in
+// UsesRelays reports whether some daemons read for all: in a fleet of so many linked ones, and in
 // each cell of a divided one, however few daemons the hash has thrown into it. Cells of a fleet
 // of 236 have 8 to 21 daemons; were all of the small ones to read, there would be twice as many
 // readers.
-func Relayed(linked int, divided bool) bool { return divided || linked >= relayFrom }
+func UsesRelays(linked int, divided bool) bool { return divided || linked >= relayFrom }
 
-// Told is what a reader tells of its reading, beside the changes that it sends.
-type Told struct {
+// RelayState is what a reader tells of its reading, beside the changes that it sends.
+type RelayState struct {
 	// Revision up to which it has sent all changes; 0: it doesn't read for others.
 	Revision int64
 	// Term for which it reads, which begins anew when it has ceased to.
@@ -89,13 +89,13 @@
 	Age time.Duration
 }
 
-// Chain is what a daemon learns through one reader, whose messages come once and in order
+// RelayStream is what a daemon learns through one reader, whose messages come once and in order
 // while it is linked. It may be relied on from when the reader has said that it sends what
 // changes, and the daemon has once known as much as the reader had told. Heartbeats alone
 // don't show that: the two ends of a link come up one after the other, and what changes in
 // between is sent to nobody, while heartbeats tell it as sent. A daemon that missed a
 // leaving worker so would give it tasks until it is gone. The zero value begins a chain.
-type Chain struct {
+type RelayStream struct {
 	// opened is the term in which the reader has said that it sends what changes; 0: none.
 	opened uint32
 	joined bool
@@ -103,14 +103,14 @@
 	at     time.Duration
 }
 
-// Opened notes the reader's word that it sends what changes from here on, in a term.
-func (c *Chain) Opened(term uint32) { c.opened = term }
+// HandleOpened notes the reader's word that it sends what changes from here on, in a term.
+func (c *RelayStream) HandleOpened(term uint32) { c.opened = term }
 
-// Heard takes what the reader tells and returns the revision up to which the daemon, which
+// HandleState takes what the reader tells and returns the revision up to which the daemon, which
 // knew all up to the given one, knows all now.
-func (c *Chain) Heard(now time.Duration, known int64, t Told) int64 {
+func (c *RelayStream) HandleState(now time.Duration, known int64, t RelayState) int64 {
 	if t.Revision == 0 || t.Term != c.term {
-		*c = Chain{opened: c.opened, term: t.Term}
+		*c = RelayStream{opened: c.opened, term: t.Term}
 	}
 	if t.Revision == 0 || c.opened != t.Term || !c.joined && known < t.Revision {
 		return known
@@ -119,76 +119,78 @@
 	return max(known, t.Revision)
 }
 
-// Copied notes that the reader has sent all entries: what changes later follows.
-func (c *Chain) Copied(term uint32) { *c = Chain{opened: term, joined: true, term: term, at: c.at} }
+// HandleCopy notes that the reader has sent all entries: what changes later follows.
+func (c *RelayStream) HandleCopy(term uint32) {
+	*c = RelayStream{opened: term, joined: true, term: term, at: c.at}
+}
 
-// Current reports whether the daemon can rely on the reader now.
-func (c *Chain) Current(now time.Duration) bool {
+// UpToDate reports whether the daemon can rely on the reader now.
+func (c *RelayStream) UpToDate(now time.Duration) bool {
 	return c.joined && c.at > 0 && now-c.at <= chainPatience
 }
 
-// Step is how a daemon learns next of what has changed.
-type Step uint8
+// SyncAction is how a daemon learns next of what has changed.
+type SyncAction uint8
 
 // Steps.
 const (
-	// Rely: a reader tells of changes.
-	Rely Step = iota + 1
-	// Wait: a reader is asked, or may come into sight.
-	Wait
-	// Watch: the daemon reads what has happened since it last knew all.
-	Watch
+	// UseRelay: a reader tells of changes.
+	UseRelay SyncAction = iota + 1
+	// WaitForRelay: a reader is asked, or may come into sight.
+	WaitForRelay
+	// WatchStore: the daemon reads what has happened since it last knew all.
+	WatchStore
 	// ReadAll: it reads all entries.
 	ReadAll
 )
 
-// Situation is what a daemon knows of itself and of readers.
-type Situation struct {
-	// Reader: it reads for others.
-	Reader bool
-	// Wide: the fleet is one in which some read for all.
-	Wide bool
-	// StoreLost: the store doesn't answer this daemon.
-	StoreLost bool
+// SyncStatus is what a daemon knows of itself and of readers.
+type SyncStatus struct {
+	// IsRelay: it reads for others.
+	IsRelay bool
+	// UsesRelays: the fleet is one in which some read for all.
+	UsesRelays bool
+	// StoreUnreachable: the store doesn't answer this daemon.
+	StoreUnreachable bool
 	// Starting: it knows nothing yet, and has read that others of its cell are to read for all.
 	Starting bool
-	// Current: there is a reader to rely on.
-	Current bool
-	// Offered: a reader is in sight that knows more.
-	Offered bool
-	// KnownAt is when the daemon last knew all.
-	KnownAt time.Duration
+	// RelayUpToDate: there is a reader to rely on.
+	RelayUpToDate bool
+	// RelayAhead: a reader is in sight that knows more.
+	RelayAhead bool
+	// UpToDateAt is when the daemon last knew all.
+	UpToDateAt time.Duration
 }
 
-// Pursuit decides how a daemon learns of changes. When a failure domain that was cut off is
+// SyncPlanner decides how a daemon learns of changes. When a failure domain that was cut off is
 // linked again, all of its daemons lack seconds of history at once. Were each to watch the
 // store from where it was, the answer, of renewals of all workers for the most part, would
 // fill its link for as long as a second, while callers wait for what runs; a reader's answer
 // is a few entries. The zero value begins it.
-type Pursuit struct{ since time.Duration }
+type SyncPlanner struct{ since time.Duration }
 
-// Next returns the next step.
-func (p *Pursuit) Next(now time.Duration, s Situation) Step {
-	if s.Current && !s.Reader && (s.Wide || s.StoreLost) {
+// NextAction returns the next step.
+func (p *SyncPlanner) NextAction(now time.Duration, s SyncStatus) SyncAction {
+	if s.RelayUpToDate && !s.IsRelay && (s.UsesRelays || s.StoreUnreachable) {
 		p.since = 0
-		return Rely
+		return UseRelay
 	}
 	if p.since == 0 {
 		p.since = now
 	}
 	patience := seekPatience
-	if s.Offered {
+	if s.RelayAhead {
 		patience = askPatience
 	}
-	if s.Wide && !s.Reader && now-p.since < patience {
-		return Wait
+	if s.UsesRelays && !s.IsRelay && now-p.since < patience {
+		return WaitForRelay
 	}
-	if s.Starting && !s.Reader && !s.StoreLost && now-p.since < startPatience {
-		return Wait
+	if s.Starting && !s.IsRelay && !s.StoreUnreachable && now-p.since < startPatience {
+		return WaitForRelay
 	}
 	p.since = 0
-	if now-s.KnownAt > renewal {
+	if now-s.UpToDateAt > renewal {
 		return ReadAll
 	}
-	return Watch
+	return WatchStore
 }
--- a/registry/retire.go
+++ b/registry/retire.go
@@ -22,9 +22,9 @@
 // is ready for use; it is not safe for concurrent use.
 type Retirements struct{ words map[string]Retirement }
 
-// Take takes a word, of a peer or of a watch, and reports whether it changes what is known:
+// Apply takes a word, of a peer or of a watch, and reports whether it changes what is known:
 // an older word than the last one on the domain doesn't.
-func (r *Retirements) Take(w Retirement) bool {
+func (r *Retirements) Apply(w Retirement) bool {
 	if known, ok := r.words[w.Domain]; ok && w.Revision <= known.Revision {
 		return false
 	}
@@ -35,17 +35,17 @@
 	return true
 }
 
-// Replace takes all retirements that the store shows at a revision, and returns the words by
+// ApplySnapshot takes all retirements that the store shows at a revision, and returns the words by
 // which that changes what is known. A domain that is not shown has been reinstated by then,
 // unless a later word on it is known.
-func (r *Retirements) Replace(shown []Retirement, revision int64) (changed []Retirement) {
+func (r *Retirements) ApplySnapshot(shown []Retirement, revision int64) (changed []Retirement) {
 	for _, w := range r.List() {
 		if w.Retired && !slices.ContainsFunc(shown, func(s Retirement) bool { return s.Domain == w.Domain }) {
 			shown = append(shown, Retirement{Domain: w.Domain, Revision: revision})
 		}
 	}
 	for _, w := range shown {
-		if r.Take(w) {
+		if r.Apply(w) {
 			changed = append(changed, w)
 		}
 	}
--- a/registry/roots.go
+++ b/registry/roots.go
@@ -9,14 +9,14 @@
 // one may be lost, or lose the store, and a domain may be cut off from all others.
 const rootsPerDomain = 2
 
-// Roots returns, of the readers of all cells, those that read the store; the other readers take
+// SelectRootRelays returns, of the readers of all cells, those that read the store; the other readers take
 // what these have read. Two readers for each cell take from the store what grows with daemons
 // times workers: 500 daemons with 5,300 workers 0.8 of a link of 1 Gbit/s, and a reader of a cell
 // with small machines only half of its own link of 25 Mbit/s. The strongest of each failure
 // domain are chosen, a function of the inputs alone.
-func Roots(readers []Reader) (roots []Reader) {
+func SelectRootRelays(readers []Relay) (roots []Relay) {
 	sorted := slices.Clone(readers)
-	slices.SortFunc(sorted, func(a, b Reader) int {
+	slices.SortFunc(sorted, func(a, b Relay) int {
 		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(place(a), place(b)), a.Address.Compare(b.Address))
 	})
 	chosen := make(map[string]int)
@@ -29,18 +29,18 @@
 	return roots
 }
 
-// Preference returns the roots in the order in which a reader asks them: those of its own
+// RankRootRelays returns the roots in the order in which a reader asks them: those of its own
 // failure domain first, and among equals each reader in an order of its own, so that the two
 // readers of a cell rarely rely on the same.
-func Preference(self Reader, roots []Reader) []Reader {
+func RankRootRelays(self Relay, roots []Relay) []Relay {
 	list := slices.Clone(roots)
-	far := func(r Reader) int {
+	far := func(r Relay) int {
 		if r.Domain == self.Domain {
 			return 0
 		}
 		return 1
 	}
-	slices.SortFunc(list, func(a, b Reader) int {
+	slices.SortFunc(list, func(a, b Relay) int {
 		return cmp.Or(cmp.Compare(far(a), far(b)), cmp.Compare(place(a)^place(self), place(b)^place(self)), a.Address.Compare(b.Address))
 	})
 	return list
--- a/routing/table.go
+++ b/routing/table.go
@@ -17,13 +17,13 @@
 	Service string
 	// Timeout bounds a request from its arrival; 0 for none.
 	Timeout time.Duration
-	// Target and Stretch give when an answer is on time: Stretch times the work, and Target more.
-	Target  time.Duration
-	Stretch float64
+	// TargetLatency and Stretch give when an answer is on time: Stretch times the work, and TargetLatency more.
+	TargetLatency time.Duration
+	Stretch       float64
 	// Priority 0 is the most urgent.
 	Priority int
-	// Attempts is how often a task may fail.
-	Attempts int
+	// MaxAttempts is how often a task may fail.
+	MaxAttempts int
 }
 
 // Table is one version of the configuration. It is not changed once made.
--- a/sched/borrow.go
+++ b/sched/borrow.go
@@ -192,8 +192,8 @@
 	return n
 }
 
-// Loan is a lender's answer to Borrow.
-type Loan struct {
+// LendReply is a lender's answer to Borrow.
+type LendReply struct {
 	slot.Loan
 	// Extended are the loans that now last for the requested term, Recalled those of
 	// them on which nothing new may start.
@@ -203,9 +203,9 @@
 	Free int
 }
 
-// Borrowed takes in the answer to a Borrow, nil when there was none. The term counts
+// HandleLendReply takes in the answer to a Borrow, nil when there was none. The term counts
 // from the decision to ask, so a late answer only shortens it.
-func (s *Scheduler) Borrowed(now time.Duration, b Borrow, answer *Loan) {
+func (s *Scheduler) HandleLendReply(now time.Duration, b Borrow, answer *LendReply) {
 	if b.kind != nil {
 		b.kind.asked -= b.Slots
 	}
@@ -227,7 +227,7 @@
 }
 
 // extended takes in which extensions were granted.
-func (s *Scheduler) extended(p *peer, b Borrow, answer *Loan) {
+func (s *Scheduler) extended(p *peer, b Borrow, answer *LendReply) {
 	for _, l := range p.loans {
 		if !slices.Contains(b.Extend, l.id) {
 			continue
@@ -335,7 +335,7 @@
 			parts = append(parts, slot.Loan{ID: l.id, Slots: idle})
 		}
 	}
-	s.ready.GiveBacks = append(s.ready.GiveBacks, GiveBack{Peer: p.Peer, Loans: parts})
+	s.ready.Returns = append(s.ready.Returns, ReturnSlots{Peer: p.Peer, Loans: parts})
 }
 
 // takeIdle takes the idle slots out of a loan and returns, for the workers of those,
--- a/sched/doc.go
+++ b/sched/doc.go
@@ -11,12 +11,12 @@
 //	if refusal := s.Submit(now, job); refusal != nil { ... }
 //	for _, start := range s.Ready().Starts {
 //		// call the worker, then:
-//		s.Done(now, start, outcome)
+//		s.HandleOutcome(now, start, outcome)
 //	}
 //
 // Entries lend each other slots. Tell the scheduler its peers (SetPeers) and what they
-// have free (SetPeerFree), carry its Borrow and GiveBack commands to them, answer theirs
-// with Lend and TakeBack, and hand each answer to Borrowed.
+// have free (SetPeerFree), carry its Borrow and ReturnSlots commands to them, answer theirs
+// with Lend and HandleReturn, and hand each answer to HandleLendReply.
 //
 // Call Ready after every event and Tick every few milliseconds. A Scheduler is not
 // safe for concurrent use.
--- a/sched/lend.go
+++ b/sched/lend.go
@@ -21,10 +21,10 @@
 // own lends nothing and recalls the loans that are to be extended: the slots on which
 // the borrower's tasks still run are busy whatever the ledger says, and would refuse
 // the lender's own.
-func (s *Scheduler) Lend(now time.Duration, r LendRequest) Loan {
+func (s *Scheduler) Lend(now time.Duration, r LendRequest) LendReply {
 	s.fire(now)
 	s.expireLent(now)
-	var answer Loan
+	var answer LendReply
 	if s.config.Policy != Shares || s.held {
 		return answer
 	}
@@ -79,7 +79,7 @@
 			}
 		}
 		p.wants = false
-		s.ready.Hints = append(s.ready.Hints, Hint{Peer: p.Peer})
+		s.ready.Hints = append(s.ready.Hints, FreeSlotsHint{Peer: p.Peer})
 		if free--; free == 0 {
 			s.hintTurn += i + 1
 			return
@@ -137,9 +137,9 @@
 	return max(s.index[ownClass].free-reserve, 0)
 }
 
-// TakeBack takes back slots that a borrower returned before the end of the term; the
+// HandleReturn takes back slots that a borrower returned before the end of the term; the
 // parts say what it keeps.
-func (s *Scheduler) TakeBack(now time.Duration, b slot.Borrower, parts []slot.Loan) {
+func (s *Scheduler) HandleReturn(now time.Duration, b slot.Borrower, parts []slot.Loan) {
 	for _, part := range parts {
 		s.unlend(s.lent.Return(b, part))
 	}
--- a/sched/load.go
+++ b/sched/load.go
@@ -12,22 +12,22 @@
 	Slots    int
 	Free     int
 	Lendable int
-	// Wanted are the slots that waiting tasks lack.
-	Wanted   int
-	Lent     int
-	Borrowed int
-	Ejected  int
+	// MissingSlots are the slots that waiting tasks lack.
+	MissingSlots int
+	Lent         int
+	Borrowed     int
+	Ejected      int
 }
 
 // Load returns the current load.
 func (s *Scheduler) Load(time.Duration) Load {
 	l := Load{
-		Jobs:     len(s.jobs),
-		Running:  len(s.runs),
-		Waiting:  s.waiting,
-		Lendable: s.lendable(),
-		Wanted:   s.wanted(),
-		Lent:     s.lent.Total(),
+		Jobs:         len(s.jobs),
+		Running:      len(s.runs),
+		Waiting:      s.waiting,
+		Lendable:     s.lendable(),
+		MissingSlots: s.wanted(),
+		Lent:         s.lent.Total(),
 	}
 	for i := range s.index {
 		l.Free += s.index[i].free
@@ -44,8 +44,8 @@
 	return l
 }
 
-// RunTime returns the expected run time of a kind's tasks, 0 when it is not known.
-func (s *Scheduler) RunTime(kind string) time.Duration {
+// ExpectedRunTime returns the expected run time of a kind's tasks, 0 when it is not known.
+func (s *Scheduler) ExpectedRunTime(kind string) time.Duration {
 	if k := s.kinds[kind]; k != nil {
 		return k.times.mean
 	}
--- a/sched/ready.go
+++ b/sched/ready.go
@@ -8,7 +8,7 @@
 )
 
 // Start tells the embedder to send a task to a worker. Each Start must be answered
-// by one call of Done.
+// by one call of HandleOutcome.
 type Start struct {
 	Job    JobKey
 	Task   int
@@ -17,21 +17,21 @@
 	Attempt int
 }
 
-// Abort tells the embedder to stop waiting for a started task; Done still has to
+// Abort tells the embedder to stop waiting for a started task; HandleOutcome still has to
 // be called.
 type Abort struct {
 	Job  JobKey
 	Task int
 }
 
-// Ended tells that a job has ended: complete when Failure is nil.
-type Ended struct {
+// EndedJob tells that a job has ended: complete when Failure is nil.
+type EndedJob struct {
 	Job     JobKey
 	Failure *verdict.Failure
 }
 
 // Borrow tells the embedder to ask a peer for slots, for the extension of loans, or
-// for both. Each Borrow must be answered by one call of Borrowed.
+// for both. Each Borrow must be answered by one call of HandleLendReply.
 type Borrow struct {
 	Peer  Peer
 	Slots int
@@ -44,17 +44,17 @@
 	kind   *kind
 }
 
-// GiveBack tells the embedder to return borrowed slots to a peer.
-type GiveBack struct {
+// ReturnSlots tells the embedder to return borrowed slots to a peer.
+type ReturnSlots struct {
 	Peer Peer
 	// Loans say how many slots of each worker are kept; workers that are left out
 	// keep all.
 	Loans []slot.Loan
 }
 
-// Hint tells the embedder to let a peer that lacks slots know at once, by a heartbeat,
+// FreeSlotsHint tells the embedder to let a peer that lacks slots know at once, by a heartbeat,
 // that this entry has some now.
-type Hint struct {
+type FreeSlotsHint struct {
 	Peer Peer
 }
 
@@ -68,10 +68,10 @@
 type Ready struct {
 	Starts    []Start
 	Aborts    []Abort
-	Ended     []Ended
+	Ended     []EndedJob
 	Borrows   []Borrow
-	GiveBacks []GiveBack
-	Hints     []Hint
+	Returns   []ReturnSlots
+	Hints     []FreeSlotsHint
 	Ejections []Ejection
 }
 
--- a/sched/running.go
+++ b/sched/running.go
@@ -1,7 +1,7 @@
 package sched
 
-// RunningOn counts the started tasks by worker, also those whose job has ended.
-func (s *Scheduler) RunningOn() map[string]int {
+// RunningByWorker counts the started tasks by worker, also those whose job has ended.
+func (s *Scheduler) RunningByWorker() map[string]int {
 	counts := make(map[string]int)
 	for _, r := range s.runs {
 		counts[r.start.Worker]++
@@ -9,8 +9,8 @@
 	return counts
 }
 
-// KindDemand counts the running and waiting tasks by kind.
-func (s *Scheduler) KindDemand() map[string]int {
+// DemandByKind counts the running and waiting tasks by kind.
+func (s *Scheduler) DemandByKind() map[string]int {
 	counts := make(map[string]int)
 	for _, j := range s.jobs {
 		counts[j.Kind] += len(j.running) + len(j.waiting)
--- a/sched/scheduler.go
+++ b/sched/scheduler.go
@@ -21,7 +21,7 @@
 
 	jobs map[JobKey]*job
 	// runs holds every started task, also those whose job has ended: they keep their
-	// slots until Done.
+	// slots until HandleOutcome.
 	runs     map[runKey]*run
 	kinds    map[string]*kind
 	kindList []*kind
@@ -37,7 +37,7 @@
 	hintTurn int
 	timers   timers
 	ready    Ready
-	// held keeps tasks from being started; see Hold.
+	// held keeps tasks from being started; see PauseStarts.
 	held bool
 }
 
--- a/sched/settle.go
+++ b/sched/settle.go
@@ -25,8 +25,8 @@
 	return true
 }
 
-// Done takes in how a started task ended.
-func (s *Scheduler) Done(now time.Duration, st Start, o Outcome) {
+// HandleOutcome takes in how a started task ended.
+func (s *Scheduler) HandleOutcome(now time.Duration, st Start, o Outcome) {
 	key := runKey{st.Job, st.Task}
 	r := s.runs[key]
 	if r == nil || r.start != st {
@@ -131,5 +131,5 @@
 func (s *Scheduler) end(j *job, f *verdict.Failure) {
 	delete(s.jobs, j.Key)
 	s.stop(j.alarm)
-	s.ready.Ended = append(s.ready.Ended, Ended{Job: j.Key, Failure: f})
+	s.ready.Ended = append(s.ready.Ended, EndedJob{Job: j.Key, Failure: f})
 }
--- a/sched/stop.go
+++ b/sched/stop.go
@@ -6,13 +6,13 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// Hold keeps tasks from being started until Release; jobs are still admitted. Use it
+// PauseStarts keeps tasks from being started until ResumeStarts; jobs are still admitted. Use it
 // while the list of workers may be badly out of date, for instance after a pause of
 // the process: its slots may have been given to others.
-func (s *Scheduler) Hold() { s.held = true }
+func (s *Scheduler) PauseStarts() { s.held = true }
 
-// Release ends Hold and starts what can start.
-func (s *Scheduler) Release(now time.Duration) {
+// ResumeStarts ends PauseStarts and starts what can start.
+func (s *Scheduler) ResumeStarts(now time.Duration) {
 	s.held = false
 	s.schedule(now)
 }
--- a/share/divide.go
+++ b/share/divide.go
@@ -6,23 +6,23 @@
 	"slices"
 )
 
-// Claim is what somebody asks for.
-type Claim struct {
-	// Demand is in the unit of the capacity. Negative ones and NaN count as none.
-	Demand float64
+// Demand is what somebody asks for.
+type Demand struct {
+	// Amount is in the unit of the capacity. Negative ones and NaN count as none.
+	Amount float64
 	// Weight is the claim's part of short capacity compared with the others'; what isn't above 0
 	// counts as 1.
 	Weight float64
 }
 
-func (c Claim) demand() float64 {
-	if c.Demand > 0 {
-		return c.Demand
+func (c Demand) demand() float64 {
+	if c.Amount > 0 {
+		return c.Amount
 	}
 	return 0
 }
 
-func (c Claim) weight() float64 {
+func (c Demand) weight() float64 {
 	if c.Weight > 0 && !math.IsInf(c.Weight, 1) {
 		return c.Weight
 	}
@@ -32,7 +32,7 @@
 // Divide returns each claim's part of the capacity by weighted max-min: nobody gets more than
 // the demand, and what one leaves is divided among the others by weight. So a claim whose demand
 // is below its weight's part of the capacity gets all of it, whatever the others ask for.
-func Divide(capacity float64, claims []Claim) []float64 {
+func Divide(capacity float64, claims []Demand) []float64 {
 	order := make([]int, len(claims))
 	weights := 0.0
 	for i, c := range claims {
--- a/share/usual.go
+++ b/share/usual.go
@@ -19,10 +19,10 @@
 	floorPart = 0.25
 )
 
-// Usual learns what each claim gets, mostly while there is room for all, and divides short room
+// LearnedShares learns what each claim gets, mostly while there is room for all, and divides short room
 // by it: whoever asks for more than usual is cut before those who don't. The zero value is ready
 // for use. It is not safe for concurrent use.
-type Usual[K comparable] struct {
+type LearnedShares[K comparable] struct {
 	means map[K]float64
 	// age is for how long it was learned, at the time of the last division.
 	age, at time.Duration
@@ -30,17 +30,17 @@
 
 // Divide returns each claim's part of the capacity: a floor equally, the rest by what is usual.
 // Nobody gets more than the demand.
-func (u *Usual[K]) Divide(now time.Duration, capacity float64, names []K, demands map[K]float64) map[K]float64 {
-	equal, usual := make([]Claim, len(names)), make([]Claim, len(names))
+func (u *LearnedShares[K]) Divide(now time.Duration, capacity float64, names []K, demands map[K]float64) map[K]float64 {
+	equal, usual := make([]Demand, len(names)), make([]Demand, len(names))
 	for i, k := range names {
-		equal[i] = Claim{Demand: demands[k]}
+		equal[i] = Demand{Amount: demands[k]}
 	}
 	floors := Divide(floorPart*capacity, equal)
 	rest, asked := capacity, 0.0
 	for i, k := range names {
 		rest -= floors[i]
 		asked += demands[k]
-		usual[i] = Claim{Demand: demands[k] - floors[i], Weight: max(u.means[k], 1)}
+		usual[i] = Demand{Amount: demands[k] - floors[i], Weight: max(u.means[k], 1)}
 	}
 	parts := make(map[K]float64, len(names))
 	for i, part := range Divide(rest, usual) {
@@ -51,7 +51,7 @@
 }
 
 // learn takes what claims got, not what they asked for: that has no bounds.
-func (u *Usual[K]) learn(now time.Duration, parts map[K]float64, short bool) {
+func (u *LearnedShares[K]) learn(now time.Duration, parts map[K]float64, short bool) {
 	if u.means == nil {
 		u.means, u.at = make(map[K]float64), now
 	}
--- a/submission/id.go
+++ b/submission/id.go
@@ -41,10 +41,10 @@
 	Owner netip.AddrPort
 	// Incarnation distinguishes processes at the same address.
 	Incarnation uint64
-	// Minted is the time of minting on the owner's clock, in milliseconds.
-	Minted time.Duration
-	nonce  [nonceSize]byte
-	mac    [macSize]byte
+	// MintedAt is the time of minting on the owner's clock, in milliseconds.
+	MintedAt time.Duration
+	nonce    [nonceSize]byte
+	mac      [macSize]byte
 }
 
 // String returns the identifier's text.
@@ -77,7 +77,7 @@
 	b = append(b, addr[:]...)
 	b = binary.BigEndian.AppendUint16(b, id.Owner.Port())
 	b = binary.BigEndian.AppendUint64(b, id.Incarnation)
-	b = binary.BigEndian.AppendUint64(b, uint64(id.Minted/time.Millisecond))
+	b = binary.BigEndian.AppendUint64(b, uint64(id.MintedAt/time.Millisecond))
 	return append(b, id.nonce[:]...)
 }
 
@@ -108,7 +108,7 @@
 	if ms > uint64(maxMinted/time.Millisecond) {
 		return ID{}, ErrMalformed
 	}
-	id.Minted = time.Duration(ms) * time.Millisecond
+	id.MintedAt = time.Duration(ms) * time.Millisecond
 	b = b[8:]
 	copy(id.nonce[:], b)
 	copy(id.mac[:], b[nonceSize:nonceSize+macSize])
@@ -144,7 +144,7 @@
 
 // Mint returns a new identifier for the team. It costs no memory until it is used.
 func (m *Minter) Mint(team string, now time.Duration) ID {
-	id := ID{Owner: m.owner, Incarnation: m.incarnation, Minted: now.Truncate(time.Millisecond)}
+	id := ID{Owner: m.owner, Incarnation: m.incarnation, MintedAt: now.Truncate(time.Millisecond)}
 	rand.Read(id.nonce[:])
 	id.mac = m.mac(id, team)
 	return id
--- a/submission/predecessors.go
+++ b/submission/predecessors.go
@@ -23,8 +23,8 @@
 	// Window is the time after minting within which its identifiers had to be used
 	// first.
 	Window time.Duration
-	// Keep is the time for which it still has to be known.
-	Keep time.Duration
+	// KeepFor is the time for which it still has to be known.
+	KeepFor time.Duration
 }
 
 // Predecessors holds the processes whose records this one took over. It is safe for
@@ -66,15 +66,15 @@
 	}
 	t := p.known[s.Process]
 	if t == nil {
-		t = &takenOver{ahead: s.Clock - now, window: s.Window, until: now + s.Keep}
+		t = &takenOver{ahead: s.Clock - now, window: s.Window, until: now + s.KeepFor}
 		p.known[s.Process] = t
 	}
 	t.ahead = max(t.ahead, s.Clock-now)
 	t.complete = t.complete || last
 }
 
-// Has reports whether a process handed everything over to this one.
-func (p *Predecessors) Has(s Process) bool {
+// Complete reports whether a process handed everything over to this one.
+func (p *Predecessors) Complete(s Process) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.known[s]
@@ -89,7 +89,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.known[id.Process()]
-	return t != nil && t.complete && now+t.ahead < id.Minted+t.window
+	return t != nil && t.complete && now+t.ahead < id.MintedAt+t.window
 }
 
 // All returns the predecessors as they have to be handed on.
@@ -99,7 +99,7 @@
 	var all []Predecessor
 	for process, t := range p.known {
 		if t.complete && now <= t.until {
-			all = append(all, Predecessor{Process: process, Clock: now + t.ahead, Window: t.window, Keep: t.until - now})
+			all = append(all, Predecessor{Process: process, Clock: now + t.ahead, Window: t.window, KeepFor: t.until - now})
 		}
 	}
 	return all
--- a/task/task.go
+++ b/task/task.go
@@ -39,8 +39,8 @@
 	Demand  capacity.Vector
 	// Priority 0 is the most urgent.
 	Priority int
-	// Expected is the caller's estimate of the run time.
-	Expected time.Duration
+	// ExpectedRunTime is the caller's estimate of the run time.
+	ExpectedRunTime time.Duration
 	// StartBy is the last useful time to start, on the executor's clock. A task that
 	// waits longer is given back.
 	StartBy time.Duration
@@ -48,28 +48,28 @@
 	Due time.Duration
 	// Avoid lists workers on which the task has failed.
 	Avoid []string
-	// Kept tasks are of jobs that are stored: their ends are acknowledged to the worker
+	// Durable tasks are of jobs that are stored: their ends are acknowledged to the worker
 	// only when they are stored too, and their runs outlive their coordinator for a moment.
-	Kept bool
+	Durable bool
 	// PerWorker is how many tasks of the step may run on one worker; 0: any number.
 	PerWorker int
-	// OnlyNow: the task is given back at once unless it can start now.
-	OnlyNow bool
-	// Tenures bounds the workers that may start the task, by the tenures of the executor that the
+	// NoWait: the task is given back at once unless it can start now.
+	NoWait bool
+	// MaxEpoch bounds the workers that may start the task, by the tenures of the executor that the
 	// coordinator knew of when it offered the task: what it doesn't know of it can't wait for when
 	// the executor is lost. 0: not told, any worker may.
-	Tenures uint64
-	// Surplus tasks are of jobs beyond the share of their queue and callers: they wait behind
+	MaxEpoch uint64
+	// OverShare tasks are of jobs beyond the share of their queue and callers: they wait behind
 	// those within theirs.
-	Surplus bool
+	OverShare bool
 }
 
-// CompareBands puts tasks within their shares before surplus ones.
-func CompareBands(a, b *Task) int {
+// CompareOverShare puts tasks within their shares before surplus ones.
+func CompareOverShare(a, b *Task) int {
 	switch {
-	case a.Surplus == b.Surplus:
+	case a.OverShare == b.OverShare:
 		return 0
-	case b.Surplus:
+	case b.OverShare:
 		return -1
 	default:
 		return 1
@@ -95,8 +95,8 @@
 	Done
 	// Failed: it ended by its own fault or the worker's.
 	Failed
-	// Gone: it may have started, and it is certain that it doesn't run any more.
-	Gone
+	// Terminated: it may have started, and it is certain that it doesn't run any more.
+	Terminated
 	// Moved: another executor took the worker over; the run may go on there.
 	Moved
 )
