--- a/arbiter/arbiter.go
+++ b/arbiter/arbiter.go
@@ -37,16 +37,16 @@
 }
 
 type grant struct {
-	job    string
-	holder Attempt
-	until  time.Duration
+	job       string
+	holder    Attempt
+	expiresAt time.Duration
 }
 
 // Arbiter remembers who may start which job. It is not safe for concurrent use.
 type Arbiter struct {
 	grants map[string]*grant
 	// ends holds the grants, the one that ends first in front; those that were given back too, until then.
-	ends byEnd
+	byExpiry expiryHeap
 }
 
 // New returns an arbiter that has granted nothing.
@@ -56,7 +56,7 @@
 // has to be told, as it may be there still, beyond the sight of the one that asks.
 func (a *Arbiter) HandleRequest(now time.Duration, q GrantRequest) (v Verdict, displaced member.Process) {
 	g := a.grants[q.Job]
-	if g != nil && g.holder.Process != q.From.Process && now < g.until {
+	if g != nil && g.holder.Process != q.From.Process && now < g.expiresAt {
 		if g.holder.Process != q.NotRunning.Process || g.holder.Number > q.NotRunning.Number {
 			return Verdict{Holder: g.holder}, member.Process{}
 		}
@@ -65,17 +65,17 @@
 	if g != nil && g.holder.Process == q.From.Process && g.holder.Number > q.From.Number {
 		return Verdict{Holder: g.holder}, member.Process{} // a question of an earlier try, held up
 	}
-	for len(a.ends) >= maxGrants {
-		a.dropNext()
+	for len(a.byExpiry) >= maxGrants {
+		a.removeEarliest()
 	}
 	n := &grant{q.Job, q.From, now + q.GrantDuration}
 	a.grants[q.Job] = n
-	heap.Push(&a.ends, n)
+	heap.Push(&a.byExpiry, n)
 	return Verdict{Granted: true}, displaced
 }
 
-func (a *Arbiter) dropNext() {
-	if g := heap.Pop(&a.ends).(*grant); a.grants[g.job] == g {
+func (a *Arbiter) removeEarliest() {
+	if g := heap.Pop(&a.byExpiry).(*grant); a.grants[g.job] == g {
 		delete(a.grants, g.job)
 	}
 }
@@ -89,8 +89,8 @@
 
 // RemoveExpired forgets what is over.
 func (a *Arbiter) RemoveExpired(now time.Duration) {
-	for len(a.ends) > 0 && now >= a.ends[0].until {
-		a.dropNext()
+	for len(a.byExpiry) > 0 && now >= a.byExpiry[0].expiresAt {
+		a.removeEarliest()
 	}
 }
 
@@ -98,17 +98,17 @@
 func (a *Arbiter) GrantCount() int { return len(a.grants) }
 
 // byEnd is a heap of grants by their ends.
-type byEnd []*grant
+type expiryHeap []*grant
 
-func (h byEnd) Len() int           { return len(h) }
-func (h byEnd) Less(i, k int) bool { return h[i].until < h[k].until }
-func (h byEnd) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
+func (h expiryHeap) Len() int           { return len(h) }
+func (h expiryHeap) Less(i, k int) bool { return h[i].expiresAt < h[k].expiresAt }
+func (h expiryHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
 
 // Push implements heap.Interface.
-func (h *byEnd) Push(x any) { *h = append(*h, x.(*grant)) }
+func (h *expiryHeap) Push(x any) { *h = append(*h, x.(*grant)) }
 
 // Pop implements heap.Interface.
-func (h *byEnd) Pop() any {
+func (h *expiryHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	(*h)[len(*h)-1] = nil
 	*h = (*h)[:len(*h)-1]
--- a/arbiter/client.go
+++ b/arbiter/client.go
@@ -12,15 +12,15 @@
 const (
 	// replicas is how many arbiters a job has: one may be lost with what it remembers, or be chosen
 	// by a daemon that doesn't see the same others.
-	replicas = 3
+	arbitersPerJob = 3
 	// askPatience is how long the answers of all arbiters are waited for. Then those of most suffice:
 	// of any two daemons that have them, one arbiter has answered both.
-	askPatience = 100 * time.Millisecond
+	grantTimeout = 100 * time.Millisecond
 	// reaskPause is the time between questions about a job whose holder can't be asked.
-	reaskPause = 100 * time.Millisecond
+	retryInterval = 100 * time.Millisecond
 	// holdMargin is added to the time for which a caller waits: afterwards its job is given up, and
 	// what runs is stopped.
-	holdMargin = 10 * time.Second
+	grantMargin = 10 * time.Second
 )
 
 // Client asks for the right to start jobs and tells others of those that it has. It is not safe
@@ -28,15 +28,15 @@
 type Client struct {
 	self member.Process
 	view View
-	jobs map[string]*application
+	jobs map[string]*acquisition
 	// tries counts the tries at all jobs.
-	tries uint64
-	out   Output
+	attempts uint64
+	out      Output
 }
 
 // NewClient returns a client for the process.
 func NewClient(self member.Process, v View) *Client {
-	return &Client{self: self, view: v, jobs: make(map[string]*application)}
+	return &Client{self: self, view: v, jobs: make(map[string]*acquisition)}
 }
 
 // Drain returns what the user has to carry out since the last call.
@@ -48,55 +48,57 @@
 
 // RequestStart asks for the right to start a job, for a caller that waits until a time. A job that is
 // still ending here is asked for when that is over.
-func (c *Client) RequestStart(now time.Duration, job string, until time.Duration) {
-	if a := c.jobs[job]; a != nil && a.state == ending {
-		a.again, a.came, a.until = true, now, until
+func (c *Client) RequestStart(now time.Duration, job string, deadline time.Duration) {
+	if a := c.jobs[job]; a != nil && a.state == stopping {
+		a.restart, a.requestedAt, a.deadline = true, now, deadline
 		return
 	}
-	c.begin(now, &application{job: job, came: now, until: until})
+	c.startAttempt(now, &acquisition{job: job, requestedAt: now, deadline: deadline})
 }
 
 // begin begins a try at a job.
-func (c *Client) begin(now time.Duration, a *application) {
-	c.tries++
-	a.try = c.tries
+func (c *Client) startAttempt(now time.Duration, a *acquisition) {
+	c.attempts++
+	a.attempt = c.attempts
 	c.jobs[a.job] = a
-	c.ask(now, a)
+	c.requestGrants(now, a)
 }
 
 // ask asks all of a job's arbiters.
-func (c *Client) ask(now time.Duration, a *application) {
-	a.state, a.askAt = asking, now+askPatience
+func (c *Client) requestGrants(now time.Duration, a *acquisition) {
+	a.state, a.timeoutAt = requesting, now+grantTimeout
 	a.asked, a.replies = nil, make(map[member.Process]reply)
-	c.choose(now, a)
+	c.updateArbiters(now, a)
 }
 
 // choose takes the arbiters that are seen now, and asks those that were not asked yet.
-func (c *Client) choose(now time.Duration, a *application) {
-	a.arbiters = c.view.Arbiters(a.job, replicas)
+func (c *Client) updateArbiters(now time.Duration, a *acquisition) {
+	a.arbiters = c.view.Arbiters(a.job, arbitersPerJob)
 	for _, p := range a.arbiters {
 		if _, asked := a.replies[p]; !asked {
 			a.asked = append(a.asked, p)
-			c.question(now, a, p)
+			c.sendRequest(now, a, p)
 		}
 	}
 }
 
-func (c *Client) question(now time.Duration, a *application, p member.Process) {
+func (c *Client) sendRequest(now time.Duration, a *acquisition, p member.Process) {
 	a.replies[p] = pending
 	if !c.view.Reachable(p) {
-		a.replies[p] = unsure // it can't be asked before it is back
+		a.replies[p] = unknown // it can't be asked before it is back
 		return
 	}
-	c.send(Message{To: p, Request: &GrantRequest{Job: a.job, From: Attempt{c.self, a.try}, GrantDuration: a.until - now + holdMargin, NotRunning: a.over}})
+	c.send(Message{To: p, Request: &GrantRequest{Job: a.job, From: Attempt{c.self, a.attempt}, GrantDuration: a.deadline - now + grantMargin, NotRunning: a.notRunning}})
 }
 
 func (c *Client) send(m Message) { c.out.Messages = append(c.out.Messages, m) }
 
 // sorted returns the jobs in a repeatable order.
-func (c *Client) sorted() []*application {
+func (c *Client) sortedJobs() []*acquisition {
 	list := slices.Collect(maps.Values(c.jobs))
-	slices.SortFunc(list, func(a, b *application) int { return cmp.Or(cmp.Compare(a.came, b.came), cmp.Compare(a.job, b.job)) })
+	slices.SortFunc(list, func(a, b *acquisition) int {
+		return cmp.Or(cmp.Compare(a.requestedAt, b.requestedAt), cmp.Compare(a.job, b.job))
+	})
 	return list
 }
 
@@ -105,31 +107,31 @@
 	a := c.jobs[job]
 	if a == nil {
 		if v.Granted {
-			c.send(Message{To: from, Release: job, Attempt: c.tries}) // its callers have left meanwhile
+			c.send(Message{To: from, Release: job, Attempt: c.attempts}) // its callers have left meanwhile
 		}
 		return
 	}
-	before, asked := a.replies[from]
-	if !asked || a.state == waiting || a.state == ending {
+	previous, asked := a.replies[from]
+	if !asked || a.state == waiting || a.state == stopping {
 		return
 	}
 	switch {
 	case v.Granted:
 		a.replies[from] = granted
-		c.evaluate(now, a)
+		c.startIfGranted(now, a)
 	case v.Holder.Process == c.self: // an earlier question of this daemon's was held up
-	case a.state == started && before == pending:
+	case a.state == started && previous == pending:
 		// Most others have granted it, so the one named here can't have started it.
 	case a.state == started:
 		c.out.Revoked = append(c.out.Revoked, job)
 	default:
-		c.await(now, a, v)
+		c.waitForHolder(now, a, v)
 	}
 }
 
 // evaluate starts a job that all arbiters have granted, or most while others are silent.
-func (c *Client) evaluate(now time.Duration, a *application) {
-	if a.state != asking || len(a.arbiters) == 0 {
+func (c *Client) startIfGranted(now time.Duration, a *acquisition) {
+	if a.state != requesting || len(a.arbiters) == 0 {
 		return
 	}
 	grants := 0
@@ -138,42 +140,42 @@
 			grants++
 		}
 	}
-	if grants == len(a.arbiters) || now >= a.askAt && grants > len(a.arbiters)/2 {
-		a.state, a.over = started, Attempt{}
+	if grants == len(a.arbiters) || now >= a.timeoutAt && grants > len(a.arbiters)/2 {
+		a.state, a.notRunning = started, Attempt{}
 		c.out.Start = append(c.out.Start, a.job)
 	}
 }
 
 // await waits for the holder that an arbiter has named. Those that wait here though they precede this
 // daemon, as it had started the job, are told that nothing of it runs here: they may be the holder.
-func (c *Client) await(now time.Duration, a *application, v Verdict) {
+func (c *Client) waitForHolder(now time.Duration, a *acquisition, v Verdict) {
 	seen := c.view.Reachable(v.Holder.Process)
 	if a.holder.Process != v.Holder.Process {
 		c.out.HeldElsewhere = append(c.out.HeldElsewhere, HeldJob{a.job, v.Holder.Process, seen})
 	}
-	a.state, a.holder, a.over = waiting, v.Holder, Attempt{}
-	for _, p := range slices.Clone(a.inquirers) {
+	a.state, a.holder, a.notRunning = waiting, v.Holder, Attempt{}
+	for _, p := range slices.Clone(a.waiters) {
 		if !c.precedes(p) {
-			c.dropInquirer(a, p)
-			c.tellOver(a, p)
+			c.removeWaiter(a, p)
+			c.sendNotRunning(a, p)
 		}
 	}
 	if !seen {
-		a.askAt = now + reaskPause // it may return its right meanwhile
+		a.timeoutAt = now + retryInterval // it may return its right meanwhile
 		c.out.QuiescenceChecks = append(c.out.QuiescenceChecks, v.Holder.Process)
 		return
 	}
-	c.inquire(a)
+	c.queryHolder(a)
 }
 
 // inquire asks the holder, which tells of itself then.
-func (c *Client) inquire(a *application) {
-	a.askAt = a.until
+func (c *Client) queryHolder(a *acquisition) {
+	a.timeoutAt = a.deadline
 	c.send(Message{To: a.holder.Process, Query: a.job})
 }
 
-func (c *Client) tellOver(a *application, to member.Process) {
-	c.send(Message{To: to, NotRunning: a.job, Attempt: a.try})
+func (c *Client) sendNotRunning(a *acquisition, to member.Process) {
+	c.send(Message{To: to, NotRunning: a.job, Attempt: a.attempt})
 }
 
 // precedes puts daemons in an order. Of those that have not started a job, one waits for another
@@ -183,14 +185,14 @@
 }
 
 // yield leaves a job that has not started here to one that has inquired, and waits for that.
-func (c *Client) yield(a *application, to member.Process) {
+func (c *Client) yield(a *acquisition, to member.Process) {
 	if a.state == waiting && a.holder.Process != to {
 		c.send(Message{To: a.holder.Process, CancelQuery: a.job})
 	}
-	a.state, a.holder, a.over = waiting, Attempt{Process: to}, Attempt{}
-	c.dropInquirer(a, to)
-	c.tellOver(a, to)
-	c.inquire(a)
+	a.state, a.holder, a.notRunning = waiting, Attempt{Process: to}, Attempt{}
+	c.removeWaiter(a, to)
+	c.sendNotRunning(a, to)
+	c.queryHolder(a)
 }
 
 // HandleQuery takes the question of a daemon that was told that this one has the job. It waits for
@@ -199,40 +201,40 @@
 	a := c.jobs[job]
 	switch {
 	case a == nil:
-		c.send(Message{To: from, NotRunning: job, Attempt: c.tries})
-	case (a.state == asking || a.state == waiting) && !c.precedes(from):
+		c.send(Message{To: from, NotRunning: job, Attempt: c.attempts})
+	case (a.state == requesting || a.state == waiting) && !c.precedes(from):
 		c.yield(a, from)
-	case !slices.Contains(a.inquirers, from):
-		a.inquirers = append(a.inquirers, from)
+	case !slices.Contains(a.waiters, from):
+		a.waiters = append(a.waiters, from)
 	}
 }
 
 // HandleCancelQuery takes an inquiry back; false when there was none.
 func (c *Client) HandleCancelQuery(from member.Process, job string) bool {
 	a := c.jobs[job]
-	return a != nil && c.dropInquirer(a, from)
+	return a != nil && c.removeWaiter(a, from)
 }
 
-func (c *Client) dropInquirer(a *application, p member.Process) bool {
-	before := len(a.inquirers)
-	a.inquirers = slices.DeleteFunc(a.inquirers, func(q member.Process) bool { return q == p })
-	return len(a.inquirers) < before
+func (c *Client) removeWaiter(a *acquisition, p member.Process) bool {
+	before := len(a.waiters)
+	a.waiters = slices.DeleteFunc(a.waiters, func(q member.Process) bool { return q == p })
+	return len(a.waiters) < before
 }
 
 // HandleNotRunning takes a holder's word that nothing of the job runs there, of a try or an earlier one.
-func (c *Client) HandleNotRunning(now time.Duration, from member.Process, job string, try uint64) {
+func (c *Client) HandleNotRunning(now time.Duration, from member.Process, job string, attempt uint64) {
 	if a := c.jobs[job]; a != nil && a.state == waiting && a.holder.Process == from {
-		a.over = Attempt{from, try}
-		c.ask(now, a)
+		a.notRunning = Attempt{from, attempt}
+		c.requestGrants(now, a)
 	}
 }
 
 // HandleQuiescence tells that a holder is out of sight and no executor has anything of its jobs any more.
 func (c *Client) HandleQuiescence(now time.Duration, holder member.Process) {
-	for _, a := range c.sorted() {
-		if (a.state == waiting || a.state == asking) && a.holder.Process == holder && a.over != a.holder && !c.view.Reachable(holder) {
-			a.over = a.holder
-			c.ask(now, a)
+	for _, a := range c.sortedJobs() {
+		if (a.state == waiting || a.state == requesting) && a.holder.Process == holder && a.notRunning != a.holder && !c.view.Reachable(holder) {
+			a.notRunning = a.holder
+			c.requestGrants(now, a)
 		}
 	}
 }
@@ -246,30 +248,30 @@
 // HasWaiters reports whether another daemon waits for the job's answer.
 func (c *Client) HasWaiters(job string) bool {
 	a := c.jobs[job]
-	return a != nil && len(a.inquirers) > 0
+	return a != nil && len(a.waiters) > 0
 }
 
 // Complete ends a job that has its answer, and returns who waits for it too. While something of it
 // may still run, ConfirmStopped is to follow.
-func (c *Client) Complete(job string, over bool) []member.Process {
+func (c *Client) Complete(job string, stopped bool) []member.Process {
 	a := c.jobs[job]
 	if a == nil {
 		return nil
 	}
-	told := a.inquirers
-	a.inquirers = nil
-	a.state = ending
-	if over {
+	waiters := a.waiters
+	a.waiters = nil
+	a.state = stopping
+	if stopped {
 		delete(c.jobs, job)
 	}
-	return told
+	return waiters
 }
 
 // Revoke takes a started job back that was granted to another. When ConfirmStopped has told that nothing of
 // it runs any more, it is asked for again.
 func (c *Client) Revoke(job string) {
 	if a := c.jobs[job]; a != nil && a.state == started {
-		a.state, a.again = ending, true
+		a.state, a.restart = stopping, true
 	}
 }
 
@@ -283,47 +285,47 @@
 	if a.state == waiting {
 		c.send(Message{To: a.holder.Process, CancelQuery: job})
 	}
-	a.state, a.again = ending, false
+	a.state, a.restart = stopping, false
 }
 
 // ConfirmStopped tells that nothing of the job runs here any more.
 func (c *Client) ConfirmStopped(now time.Duration, job string) {
 	a := c.jobs[job]
-	if a == nil || a.state != ending {
+	if a == nil || a.state != stopping {
 		return
 	}
 	delete(c.jobs, job)
-	if !a.again {
+	if !a.restart {
 		for _, p := range a.asked {
 			if a.replies[p] == granted {
-				c.send(Message{To: p, Release: job, Attempt: a.try})
+				c.send(Message{To: p, Release: job, Attempt: a.attempt})
 			}
 		}
 	}
-	for _, p := range a.inquirers {
-		c.tellOver(a, p)
+	for _, p := range a.waiters {
+		c.sendNotRunning(a, p)
 	}
-	if a.again {
-		c.begin(now, &application{job: job, came: a.came, until: a.until})
+	if a.restart {
+		c.startAttempt(now, &acquisition{job: job, requestedAt: a.requestedAt, deadline: a.deadline})
 	}
 }
 
 // HandleUnreachable tells that a daemon is out of sight.
 func (c *Client) HandleUnreachable(now time.Duration, p member.Process) {
-	for _, a := range c.sorted() {
-		if c.dropInquirer(a, p) {
+	for _, a := range c.sortedJobs() {
+		if c.removeWaiter(a, p) {
 			c.out.WaiterUnreachable = append(c.out.WaiterUnreachable, a.job)
 		}
 		r, asked := a.replies[p]
 		switch {
-		case a.state == asking && asked:
-			a.replies[p] = unsure
-			c.choose(now, a)
-			c.evaluate(now, a)
+		case a.state == requesting && asked:
+			a.replies[p] = unknown
+			c.updateArbiters(now, a)
+			c.startIfGranted(now, a)
 		case a.state == started && r == granted && asked:
-			a.replies[p] = unsure
+			a.replies[p] = unknown
 		case a.state == waiting && a.holder.Process == p:
-			a.askAt = now
+			a.timeoutAt = now
 		}
 	}
 }
@@ -332,34 +334,34 @@
 // may have granted to another one meanwhile. One that takes an arbiter's place learns of the jobs
 // that are under way here, or it would grant them to others.
 func (c *Client) HandleReachable(now time.Duration, p member.Process) {
-	for _, a := range c.sorted() {
+	for _, a := range c.sortedJobs() {
 		r, asked := a.replies[p]
 		switch {
 		case !asked && a.state == started:
-			c.choose(now, a)
-		case r != unsure:
-		case a.state == asking:
-			c.question(now, a, p)
+			c.updateArbiters(now, a)
+		case r != unknown:
+		case a.state == requesting:
+			c.sendRequest(now, a, p)
 		case a.state == started:
-			c.question(now, a, p)
-			a.replies[p] = unsure // if it is another's now, that one may have started it
+			c.sendRequest(now, a, p)
+			a.replies[p] = unknown // if it is another's now, that one may have started it
 		}
 	}
 }
 
 // Tick lets time pass.
 func (c *Client) Tick(now time.Duration) {
-	for _, a := range c.sorted() {
+	for _, a := range c.sortedJobs() {
 		switch {
-		case a.state != asking && a.state != waiting:
-		case now >= a.until:
+		case a.state != requesting && a.state != waiting:
+		case now >= a.deadline:
 			c.out.Expired = append(c.out.Expired, Expiry{a.job, a.holder.Process.Address.IsValid()})
-		case now < a.askAt:
+		case now < a.timeoutAt:
 		case a.state == waiting:
-			c.ask(now, a)
+			c.requestGrants(now, a)
 		default:
-			c.choose(now, a)
-			c.evaluate(now, a)
+			c.updateArbiters(now, a)
+			c.startIfGranted(now, a)
 		}
 	}
 }
--- a/arbiter/messages.go
+++ b/arbiter/messages.go
@@ -70,13 +70,13 @@
 
 const (
 	// asking: arbiters are asked.
-	asking state = iota
+	requesting state = iota
 	// waiting: another daemon has the job.
 	waiting
 	// started: it was granted.
 	started
 	// ending: it is over here, but tasks of it may still run.
-	ending
+	stopping
 )
 
 // reply is what is known of an arbiter's opinion on a job.
@@ -88,26 +88,26 @@
 	granted
 	// unsure: it was lost with its link after it was asked. The question may not have come there, and
 	// what it had granted may have gone to another. It is asked again when it is back.
-	unsure
+	unknown
 )
 
 // application is a job for which the right to start is asked for, or held.
-type application struct {
-	job         string
-	try         uint64
-	state       state
-	came, until time.Duration
-	arbiters    []member.Process
+type acquisition struct {
+	job                   string
+	attempt               uint64
+	state                 state
+	requestedAt, deadline time.Duration
+	arbiters              []member.Process
 	// asked are all that were asked since the job was last asked for, with their replies.
 	asked   []member.Process
 	replies map[member.Process]reply
 	// askAt is when the answers of most arbiters suffice, or all of them are asked again.
-	askAt time.Duration
+	timeoutAt time.Duration
 	// holder has the job, as was last heard. over is the last try of another of which nothing runs any
 	// more; it is told until the job is granted or another holder named.
-	holder, over Attempt
+	holder, notRunning Attempt
 	// inquirers wait for the job's end here.
-	inquirers []member.Process
+	waiters []member.Process
 	// again: it has come again while it was ending.
-	again bool
+	restart bool
 }
