--- a/fleet/arbiters.go
+++ b/fleet/arbiters.go
@@ -11,14 +11,14 @@
 // inputs alone, so daemons that see the same members ask the same ones, and one that comes or
 // goes changes the arbiters of few jobs.
 func Arbiters(job string, members []Member, n int) []member.Process {
-	type rated struct {
+	type scored struct {
 		process member.Process
-		rate    float64
+		score   float64
 	}
-	best := make([]rated, 0, n+1)
+	best := make([]scored, 0, n+1)
 	for i := range members {
-		r := rated{members[i].Process, rate(job, &members[i])}
-		at, _ := slices.BinarySearchFunc(best, r, func(a, b rated) int { return cmp.Compare(b.rate, a.rate) })
+		r := scored{members[i].Process, score(job, &members[i])}
+		at, _ := slices.BinarySearchFunc(best, r, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
 		if at >= n {
 			continue
 		}
--- a/fleet/assign.go
+++ b/fleet/assign.go
@@ -51,10 +51,10 @@
 	}
 	for domain, pool := range pools {
 		if domain == "" {
-			divide(pool, members, holders)
+			assignPool(pool, members, holders)
 			continue
 		}
-		divide(pool, carriers(len(pool), byDomain[domain]), holders)
+		assignPool(pool, chooseHolders(len(pool), byDomain[domain]), holders)
 	}
 	return holders
 }
@@ -64,7 +64,7 @@
 // than many with few: a task that is large for a worker fits more often, and what waits is
 // started by its urgency among more, where coordinators would have to guess at which of many
 // queues there is room next. Where processors are not known, all hold workers.
-func carriers(workers int, members []Member) []Member {
+func chooseHolders(workers int, members []Member) []Member {
 	if slices.ContainsFunc(members, func(m Member) bool { return m.Weight <= 0 }) {
 		return members
 	}
@@ -72,29 +72,29 @@
 	slices.SortFunc(strongest, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(b.Weight, a.Weight), a.Address.Compare(b.Address))
 	})
-	room := 0.0
+	capacity := 0.0
 	for i, m := range strongest {
-		if i >= minHolders && room >= float64(workers) {
+		if i >= minHolders && capacity >= float64(workers) {
 			return strongest[:i]
 		}
-		room += m.Weight * workersPerCore
+		capacity += m.Weight * workersPerCore
 	}
 	return strongest
 }
 
 // divide gives each worker to the member that rates it highest and has not its full
 // number yet (weighted rendezvous hashing with bounded loads).
-func divide(pool []executor.WorkerInfo, members []Member, holders map[string]member.Process) {
+func assignPool(pool []executor.WorkerInfo, members []Member, holders map[string]member.Process) {
 	if len(members) == 0 {
 		return
 	}
 	slices.SortFunc(pool, func(a, b executor.WorkerInfo) int { return cmp.Compare(a.ID, b.ID) })
-	limits := parts(len(pool), members)
+	limits := quotas(len(pool), members)
 	for _, w := range pool {
-		best, bestRate := -1, 0.0
+		best, bestScore := -1, 0.0
 		for i := range members {
-			if r := rate(w.ID, &members[i]); limits[i] > 0 && (best < 0 || r > bestRate) {
-				best, bestRate = i, r
+			if r := score(w.ID, &members[i]); limits[i] > 0 && (best < 0 || r > bestScore) {
+				best, bestScore = i, r
 			}
 		}
 		limits[best]--
@@ -104,21 +104,21 @@
 
 // parts divides n among the members by their weights: each gets the whole part of its
 // share, and those with the largest rest one more.
-func parts(n int, members []Member) []int {
+func quotas(n int, members []Member) []int {
 	total := 0.0
 	for i := range members {
 		total += cmp.Or(members[i].Weight, 1)
 	}
-	list, rests, order := make([]int, len(members)), make([]float64, len(members)), make([]int, len(members))
+	list, fractions, order := make([]int, len(members)), make([]float64, len(members)), make([]int, len(members))
 	left := n
 	for i := range members {
 		share := float64(n) * cmp.Or(members[i].Weight, 1) / total
 		list[i] = int(share)
-		rests[i], order[i] = share-float64(list[i]), i
+		fractions[i], order[i] = share-float64(list[i]), i
 		left -= list[i]
 	}
 	slices.SortFunc(order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(rests[b], rests[a]), members[a].Address.Compare(members[b].Address))
+		return cmp.Or(cmp.Compare(fractions[b], fractions[a]), members[a].Address.Compare(members[b].Address))
 	})
 	for _, i := range order[:left] {
 		list[i]++
@@ -128,18 +128,18 @@
 
 // rate is a pseudo-random number of a pair, higher for a member that can carry more. The
 // incarnation is left out, so that a restarted daemon gets its workers back.
-func rate(worker string, m *Member) float64 {
+func score(worker string, m *Member) float64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(worker)
 	_, _ = d.WriteString("\x00")
 	_, _ = d.WriteString(m.Address.String())
-	return weighted(d.Sum64(), cmp.Or(m.Weight, 1))
+	return weightedScore(d.Sum64(), cmp.Or(m.Weight, 1))
 }
 
 // weighted is the rate that weighted rendezvous hashing makes of a hash and a weight: each of
 // several rates is the highest as often as its weight is of their sum.
-func weighted(hash uint64, weight float64) float64 {
+func weightedScore(hash uint64, weight float64) float64 {
 	const bits = 53
 	uniform := (float64(hash>>(64-bits)) + 0.5) / (1 << bits)
 	return -weight / math.Log(uniform)
--- a/fleet/cells.go
+++ b/fleet/cells.go
@@ -14,7 +14,7 @@
 const (
 	// maxUndivided is the number of daemons up to which a fleet is one cell: where most of the
 	// room is in use, tasks find the rest of it in one cell rather than in two.
-	maxUndivided = 48
+	maxSingleCell = 48
 	// maxCell is the number of daemons in a cell, on average, above which the cells of a
 	// larger fleet are divided. Each daemon exchanges heartbeats with all others of its cell,
 	// and links them anew when it starts: with cells of 37 that took a third of what small
@@ -37,7 +37,7 @@
 
 // ResizedFor returns the cells for a number of daemons, near the present ones.
 func (c Cells) ResizedFor(daemons int) Cells {
-	for c.bits < maxCellBits && daemons > maxUndivided && daemons > maxCell<<c.bits {
+	for c.bits < maxCellBits && daemons > maxSingleCell && daemons > maxCell<<c.bits {
 		c.bits++
 	}
 	for c.bits > 0 && daemons < minCell<<c.bits {
@@ -78,12 +78,12 @@
 	total := make([]float64, c.Count())
 	byDomain := make(map[string][]float64)
 	for _, d := range daemons {
-		sizes := byDomain[d.Domain]
-		if sizes == nil {
-			sizes = make([]float64, c.Count())
-			byDomain[d.Domain] = sizes
+		weights := byDomain[d.Domain]
+		if weights == nil {
+			weights = make([]float64, c.Count())
+			byDomain[d.Domain] = weights
 		}
-		sizes[c.CellOf(d.Address)] += cmp.Or(d.Weight, 1)
+		weights[c.CellOf(d.Address)] += cmp.Or(d.Weight, 1)
 		total[c.CellOf(d.Address)] += cmp.Or(d.Weight, 1)
 	}
 	pools := make(map[string][]executor.WorkerInfo)
@@ -92,11 +92,11 @@
 	}
 	var own []executor.WorkerInfo
 	for domain, pool := range pools {
-		sizes := byDomain[domain]
-		if sizes == nil {
-			sizes = total
+		weights := byDomain[domain]
+		if weights == nil {
+			weights = total
 		}
-		own = append(own, partOf(cell, pool, sizes)...)
+		own = append(own, workersOfCell(cell, pool, weights)...)
 	}
 	return own
 }
@@ -107,26 +107,26 @@
 
 // partOf returns the workers of a failure domain that a cell has: each worker is of the cell
 // that rates it highest and is not full (weighted rendezvous hashing with bounded loads).
-func partOf(cell int, pool []executor.WorkerInfo, sizes []float64) (own []executor.WorkerInfo) {
+func workersOfCell(cell int, pool []executor.WorkerInfo, weights []float64) (own []executor.WorkerInfo) {
 	sum := 0.0
-	for _, s := range sizes {
+	for _, s := range weights {
 		sum += s
 	}
 	if sum == 0 {
 		return nil
 	}
-	left := make([]int, len(sizes))
-	for i, s := range sizes {
+	left := make([]int, len(weights))
+	for i, s := range weights {
 		left[i] = int(math.Ceil(float64(len(pool)) * s / sum * (1 + cellSlack)))
 	}
-	for _, w := range byHash(pool) {
-		best, bestRate := -1, 0.0
-		for i, s := range sizes {
+	for _, w := range sortByHash(pool) {
+		best, bestScore := -1, 0.0
+		for i, s := range weights {
 			if left[i] <= 0 {
 				continue
 			}
-			if r := cellRate(w.key, i, s); best < 0 || r > bestRate {
-				best, bestRate = i, r
+			if r := cellScore(w.hash, i, s); best < 0 || r > bestScore {
+				best, bestScore = i, r
 			}
 		}
 		if left[best]--; best == cell {
@@ -137,28 +137,28 @@
 }
 
 // cellRate is a pseudo-random number of a worker, by its hash, and a cell, higher for a larger one.
-func cellRate(worker uint64, cell int, size float64) float64 {
+func cellScore(worker uint64, cell int, size float64) float64 {
 	const odd1, odd2 = 0x9E3779B97F4A7C15, 0xD6E8FEB86659FD93
 	x := worker ^ uint64(cell+1)*odd1
 	x = (x ^ x>>32) * odd2
 	x = (x ^ x>>32) * odd2
-	return weighted(x^x>>32, size)
+	return weightedScore(x^x>>32, size)
 }
 
 // keyedWorker is a worker with the hash of its ID.
-type keyedWorker struct {
-	key  uint64
+type hashedWorker struct {
+	hash uint64
 	info executor.WorkerInfo
 }
 
 // byHash returns workers in an order that has nothing to do with their names.
-func byHash(pool []executor.WorkerInfo) []keyedWorker {
-	list := make([]keyedWorker, len(pool))
+func sortByHash(pool []executor.WorkerInfo) []hashedWorker {
+	list := make([]hashedWorker, len(pool))
 	for i, w := range pool {
-		list[i] = keyedWorker{xxhash.Sum64String(w.ID), w}
+		list[i] = hashedWorker{xxhash.Sum64String(w.ID), w}
 	}
-	slices.SortFunc(list, func(a, b keyedWorker) int {
-		return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.info.ID, b.info.ID))
+	slices.SortFunc(list, func(a, b hashedWorker) int {
+		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.info.ID, b.info.ID))
 	})
 	return list
 }
--- a/fleet/handover.go
+++ b/fleet/membership.go
@@ -12,23 +12,23 @@
 // CellMembership tells whether a worker is of a cell, over time. The zero value is a worker that was not
 // seen yet.
 type CellMembership struct {
-	seen, inside bool
+	known, inCell bool
 	// since is when it came from another cell; 0: it has not.
-	since time.Duration
+	enteredAt time.Duration
 }
 
 // Update notes whether the worker is of the cell now. It reports when the cell's daemons may take
 // it; ok is false while it is of another cell.
-func (s *CellMembership) Update(now time.Duration, inside bool) (ready time.Duration, ok bool) {
+func (s *CellMembership) Update(now time.Duration, inCell bool) (availableAt time.Duration, ok bool) {
 	switch {
-	case !inside:
-		s.since = 0
-	case s.seen && !s.inside:
-		s.since = now
+	case !inCell:
+		s.enteredAt = 0
+	case s.known && !s.inCell:
+		s.enteredAt = now
 	}
-	s.seen, s.inside = true, inside
-	if s.since > 0 {
-		return s.since + CellHandoverDelay, inside
+	s.known, s.inCell = true, inCell
+	if s.enteredAt > 0 {
+		return s.enteredAt + CellHandoverDelay, inCell
 	}
-	return now, inside
+	return now, inCell
 }
