--- a/registry/feed.go
+++ b/registry/feed.go
@@ -107,19 +107,19 @@
 }
 
 // Follow reads a feed and watches it until ctx ends.
-func Follow(ctx context.Context, f Feed, c FollowConfig, to Follower) {
+func Follow(ctx context.Context, f Feed, c FollowConfig, follower Follower) {
 	var revision int64
 	for ctx.Err() == nil {
-		revision = to.WaitUntilDue(ctx, revision)
+		revision = follower.WaitUntilDue(ctx, revision)
 		began := time.Now()
-		next, more, err := step(ctx, f, c, to, revision)
+		next, more, err := readOrWatch(ctx, f, c, follower, revision)
 		revision = next
 		pause := c.MinInterval - time.Since(began)
 		switch {
 		case err != nil && ctx.Err() != nil:
 			return
 		case err != nil:
-			to.HandleError(err)
+			follower.HandleError(err)
 			pause = c.RetryDelay
 		case more:
 			pause = 0
@@ -130,13 +130,13 @@
 
 // step reads or watches once and returns the revision to go on from, 0 asks for a read, and
 // whether there is more to be read at once.
-func step(ctx context.Context, f Feed, c FollowConfig, to Follower, revision int64) (next int64, more bool, err error) {
+func readOrWatch(ctx context.Context, f Feed, c FollowConfig, follower Follower, revision int64) (next int64, more bool, err error) {
 	if revision == 0 {
 		items, at, err := f.Read(ctx)
 		if err != nil {
 			return 0, false, err
 		}
-		to.HandleSnapshot(items, at)
+		follower.HandleSnapshot(items, at)
 		return at, false, nil
 	}
 	changes, err := f.Watch(ctx, revision, c.Wait)
@@ -146,7 +146,7 @@
 	case err != nil:
 		return revision, false, err
 	}
-	to.HandleChanges(changes)
+	follower.HandleChanges(changes)
 	return changes.Revision, changes.More, nil
 }
 
--- a/registry/relay.go
+++ b/registry/relay.go
@@ -13,26 +13,26 @@
 const (
 	// readersAtOnce is how many daemons read the entries for all that are linked: if one is
 	// lost, or loses the store, the others go on with what the second tells.
-	readersAtOnce = 2
+	relaysPerCell = 2
 	// relayFrom is the number of linked daemons from which on the others stop to read. In
 	// smaller fleets the two would be a good part of all.
-	relayFrom = 12
+	minDaemonsForRelays = 12
 	// askPatience is how long a daemon waits for what it has asked of a reader before it reads
 	// by itself, and seekPatience for a reader to be in sight at all.
-	askPatience  = 700 * time.Millisecond
-	seekPatience = 300 * time.Millisecond
+	relayReplyTimeout  = 700 * time.Millisecond
+	relaySearchTimeout = 300 * time.Millisecond
 	// startPatience is how long a daemon that has just started waits for the readers of its
 	// cell. They read all entries within half a second, where not all daemons do: 2,500
 	// entries for each of 236 daemons keep the store's link of 1 Gbit/s busy for two seconds,
 	// in which nobody knows a worker.
-	startPatience = time.Second
+	startWaitLimit = time.Second
 	// renewal is how often workers renew their entries. What happened in a longer time takes
 	// longer to read than all entries do.
-	renewal = 1500 * time.Millisecond
+	entryRenewalInterval = 1500 * time.Millisecond
 	// chainPatience is how old a reader's last word from the store may be before a daemon
 	// reads by itself. A watch and the heartbeat that tells of it take 0.9 s when nothing
 	// changes; with a read of its own, the daemon learns of a draining worker within 2 s.
-	chainPatience = 1300 * time.Millisecond
+	maxRelayAge = 1300 * time.Millisecond
 )
 
 // Relay is a daemon that may read the store's entries for others.
@@ -52,32 +52,32 @@
 func SelectRelays(daemons []Relay) []member.Process {
 	sorted := slices.Clone(daemons)
 	slices.SortFunc(sorted, func(a, b Relay) int {
-		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(place(a), place(b)), a.Address.Compare(b.Address))
+		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(addressHash(a), addressHash(b)), a.Address.Compare(b.Address))
 	})
-	var chosen []Relay
+	var selected []Relay
 	for _, distinct := range []bool{true, false} {
 		for _, d := range sorted {
 			same := func(c Relay) bool { return c.Process == d.Process || distinct && c.Domain == d.Domain }
-			if len(chosen) < readersAtOnce && !slices.ContainsFunc(chosen, same) {
-				chosen = append(chosen, d)
+			if len(selected) < relaysPerCell && !slices.ContainsFunc(selected, same) {
+				selected = append(selected, d)
 			}
 		}
 	}
-	list := make([]member.Process, len(chosen))
-	for i, c := range chosen {
+	list := make([]member.Process, len(selected))
+	for i, c := range selected {
 		list[i] = c.Process
 	}
 	return list
 }
 
 // place spreads the reading over equal daemons; it outlives a restart.
-func place(r Relay) uint64 { return xxhash.Sum64String(r.Address.String()) }
+func addressHash(r Relay) uint64 { return xxhash.Sum64String(r.Address.String()) }
 
 // UsesRelays reports whether some daemons read for all: in a fleet of so many linked ones, and in
 // each cell of a divided one, however few daemons the hash has thrown into it. Cells of a fleet
 // of 236 have 8 to 21 daemons; were all of the small ones to read, there would be twice as many
 // readers.
-func UsesRelays(linked int, divided bool) bool { return divided || linked >= relayFrom }
+func UsesRelays(linked int, divided bool) bool { return divided || linked >= minDaemonsForRelays }
 
 // RelayState is what a reader tells of its reading, beside the changes that it sends.
 type RelayState struct {
@@ -97,36 +97,36 @@
 // leaving worker so would give it tasks until it is gone. The zero value begins a chain.
 type RelayStream struct {
 	// opened is the term in which the reader has said that it sends what changes; 0: none.
-	opened uint32
-	joined bool
-	term   uint32
-	at     time.Duration
+	openedTerm    uint32
+	complete      bool
+	term          uint32
+	storeAnswerAt time.Duration
 }
 
 // HandleOpened notes the reader's word that it sends what changes from here on, in a term.
-func (c *RelayStream) HandleOpened(term uint32) { c.opened = term }
+func (c *RelayStream) HandleOpened(term uint32) { c.openedTerm = term }
 
 // HandleState takes what the reader tells and returns the revision up to which the daemon, which
 // knew all up to the given one, knows all now.
-func (c *RelayStream) HandleState(now time.Duration, known int64, t RelayState) int64 {
-	if t.Revision == 0 || t.Term != c.term {
-		*c = RelayStream{opened: c.opened, term: t.Term}
+func (c *RelayStream) HandleState(now time.Duration, known int64, state RelayState) int64 {
+	if state.Revision == 0 || state.Term != c.term {
+		*c = RelayStream{openedTerm: c.openedTerm, term: state.Term}
 	}
-	if t.Revision == 0 || c.opened != t.Term || !c.joined && known < t.Revision {
+	if state.Revision == 0 || c.openedTerm != state.Term || !c.complete && known < state.Revision {
 		return known
 	}
-	c.joined, c.at = true, now-t.Age
-	return max(known, t.Revision)
+	c.complete, c.storeAnswerAt = true, now-state.Age
+	return max(known, state.Revision)
 }
 
 // HandleCopy notes that the reader has sent all entries: what changes later follows.
 func (c *RelayStream) HandleCopy(term uint32) {
-	*c = RelayStream{opened: term, joined: true, term: term, at: c.at}
+	*c = RelayStream{openedTerm: term, complete: true, term: term, storeAnswerAt: c.storeAnswerAt}
 }
 
 // UpToDate reports whether the daemon can rely on the reader now.
 func (c *RelayStream) UpToDate(now time.Duration) bool {
-	return c.joined && c.at > 0 && now-c.at <= chainPatience
+	return c.complete && c.storeAnswerAt > 0 && now-c.storeAnswerAt <= maxRelayAge
 }
 
 // SyncAction is how a daemon learns next of what has changed.
@@ -167,29 +167,29 @@
 // store from where it was, the answer, of renewals of all workers for the most part, would
 // fill its link for as long as a second, while callers wait for what runs; a reader's answer
 // is a few entries. The zero value begins it.
-type SyncPlanner struct{ since time.Duration }
+type SyncPlanner struct{ waitingSince time.Duration }
 
 // NextAction returns the next step.
-func (p *SyncPlanner) NextAction(now time.Duration, s SyncStatus) SyncAction {
-	if s.RelayUpToDate && !s.IsRelay && (s.UsesRelays || s.StoreUnreachable) {
-		p.since = 0
+func (p *SyncPlanner) NextAction(now time.Duration, status SyncStatus) SyncAction {
+	if status.RelayUpToDate && !status.IsRelay && (status.UsesRelays || status.StoreUnreachable) {
+		p.waitingSince = 0
 		return UseRelay
 	}
-	if p.since == 0 {
-		p.since = now
+	if p.waitingSince == 0 {
+		p.waitingSince = now
 	}
-	patience := seekPatience
-	if s.RelayAhead {
-		patience = askPatience
+	limit := relaySearchTimeout
+	if status.RelayAhead {
+		limit = relayReplyTimeout
 	}
-	if s.UsesRelays && !s.IsRelay && now-p.since < patience {
+	if status.UsesRelays && !status.IsRelay && now-p.waitingSince < limit {
 		return WaitForRelay
 	}
-	if s.Starting && !s.IsRelay && !s.StoreUnreachable && now-p.since < startPatience {
+	if status.Starting && !status.IsRelay && !status.StoreUnreachable && now-p.waitingSince < startWaitLimit {
 		return WaitForRelay
 	}
-	p.since = 0
-	if now-s.UpToDateAt > renewal {
+	p.waitingSince = 0
+	if now-status.UpToDateAt > entryRenewalInterval {
 		return ReadAll
 	}
 	return WatchStore
--- a/registry/retire.go
+++ b/registry/retire.go
@@ -20,18 +20,18 @@
 // stand idle; or keep a domain in use that was retired, and its workers would be given
 // tasks while they are emptied. There are as few words as failure domains. The zero value
 // is ready for use; it is not safe for concurrent use.
-type Retirements struct{ words map[string]Retirement }
+type Retirements struct{ latest map[string]Retirement }
 
 // Apply takes a word, of a peer or of a watch, and reports whether it changes what is known:
 // an older word than the last one on the domain doesn't.
 func (r *Retirements) Apply(w Retirement) bool {
-	if known, ok := r.words[w.Domain]; ok && w.Revision <= known.Revision {
+	if known, ok := r.latest[w.Domain]; ok && w.Revision <= known.Revision {
 		return false
 	}
-	if r.words == nil {
-		r.words = make(map[string]Retirement)
+	if r.latest == nil {
+		r.latest = make(map[string]Retirement)
 	}
-	r.words[w.Domain] = w
+	r.latest[w.Domain] = w
 	return true
 }
 
@@ -53,12 +53,12 @@
 }
 
 // Retired reports whether a failure domain is retired.
-func (r *Retirements) Retired(domain string) bool { return r.words[domain].Retired }
+func (r *Retirements) Retired(domain string) bool { return r.latest[domain].Retired }
 
 // List returns the last word on each domain, in the order of their names.
 func (r *Retirements) List() []Retirement {
-	list := make([]Retirement, 0, len(r.words))
-	for _, w := range r.words {
+	list := make([]Retirement, 0, len(r.latest))
+	for _, w := range r.latest {
 		list = append(list, w)
 	}
 	slices.SortFunc(list, func(a, b Retirement) int { return cmp.Compare(a.Domain, b.Domain) })
--- a/registry/roots.go
+++ b/registry/roots.go
@@ -14,10 +14,10 @@
 // times workers: 500 daemons with 5,300 workers 0.8 of a link of 1 Gbit/s, and a reader of a cell
 // with small machines only half of its own link of 25 Mbit/s. The strongest of each failure
 // domain are chosen, a function of the inputs alone.
-func SelectRootRelays(readers []Relay) (roots []Relay) {
-	sorted := slices.Clone(readers)
+func SelectRootRelays(relays []Relay) (roots []Relay) {
+	sorted := slices.Clone(relays)
 	slices.SortFunc(sorted, func(a, b Relay) int {
-		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(place(a), place(b)), a.Address.Compare(b.Address))
+		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(addressHash(a), addressHash(b)), a.Address.Compare(b.Address))
 	})
 	chosen := make(map[string]int)
 	for _, r := range sorted {
@@ -34,14 +34,14 @@
 // readers of a cell rarely rely on the same.
 func RankRootRelays(self Relay, roots []Relay) []Relay {
 	list := slices.Clone(roots)
-	far := func(r Relay) int {
+	otherDomain := func(r Relay) int {
 		if r.Domain == self.Domain {
 			return 0
 		}
 		return 1
 	}
 	slices.SortFunc(list, func(a, b Relay) int {
-		return cmp.Or(cmp.Compare(far(a), far(b)), cmp.Compare(place(a)^place(self), place(b)^place(self)), a.Address.Compare(b.Address))
+		return cmp.Or(cmp.Compare(otherDomain(a), otherDomain(b)), cmp.Compare(addressHash(a)^addressHash(self), addressHash(b)^addressHash(self)), a.Address.Compare(b.Address))
 	})
 	return list
 }
