--- a/member/pace.go
+++ b/member/heartbeat.go
@@ -41,7 +41,7 @@
 
 // earlyShare of Interval is how much too early a heartbeat may be: the ticks that ask
 // for it, one each Interval, don't fall exactly on the time.
-const earlyShare = 4
+const earlyFraction = 4
 
 // Due tells whether a heartbeat to a peer is due; alive says whether the view holds it
 // alive. A domain that is not known yet counts as the own.
@@ -58,7 +58,7 @@
 		return false
 	}
 	at, ok := p.exchanged[peer]
-	return !ok || now-at >= interval-p.config.Interval/earlyShare
+	return !ok || now-at >= interval-p.config.Interval/earlyFraction
 }
 
 // HandleExchange notes a heartbeat that was answered, or a peer's that came in.
--- a/member/leaving.go
+++ b/member/leaving.go
@@ -5,9 +5,9 @@
 const (
 	// sameNotice is the difference below which two notices are the same one, told on
 	// different ways. Without it a notice would seem newer each time it is passed on.
-	sameNotice = 2 * time.Second
+	noticeTolerance = 2 * time.Second
 	// noticeTerm is how long a notice outlives newer VM lists that don't confirm it.
-	noticeTerm = 10 * time.Minute
+	noticeLifetime = 10 * time.Minute
 )
 
 // LeavingWorkers holds the workers that said, to this entry or a peer, that they are leaving.
@@ -29,7 +29,7 @@
 // notice is one worker's word.
 type notice struct {
 	// said is the time of the worker's own answer.
-	said time.Duration
+	reportedAt time.Duration
 	// listed is set once a list showed the worker, confirmed once one showed it
 	// leaving.
 	listed, confirmed bool
@@ -43,15 +43,15 @@
 // Add takes in that a worker said that it is leaving, some time ago, and tells
 // whether that is news.
 func (l *LeavingWorkers) Add(now time.Duration, worker string, age time.Duration) bool {
-	said := now - age
-	if end, ok := l.ended[worker]; ok && said <= end+sameNotice {
+	reportedAt := now - age
+	if end, ok := l.ended[worker]; ok && reportedAt <= end+noticeTolerance {
 		return false
 	}
 	old, known := l.notices[worker]
-	if known && said <= old.said+sameNotice {
+	if known && reportedAt <= old.reportedAt+noticeTolerance {
 		return false
 	}
-	old.said = said
+	old.reportedAt = reportedAt
 	l.notices[worker] = old
 	return !known
 }
@@ -65,7 +65,7 @@
 // All calls fn for every leaving worker with the time since it said so.
 func (l *LeavingWorkers) All(now time.Duration, fn func(worker string, age time.Duration)) {
 	for w, n := range l.notices {
-		fn(w, now-n.said)
+		fn(w, now-n.reportedAt)
 	}
 }
 
@@ -79,17 +79,17 @@
 	for w, n := range l.notices {
 		leaving, listed := workers[w]
 		switch {
-		case !listed && n.listed, !leaving && n.confirmed, !leaving && now > n.said+noticeTerm:
+		case !listed && n.listed, !leaving && n.confirmed, !leaving && now > n.reportedAt+noticeLifetime:
 			delete(l.notices, w)
-			l.ended[w] = n.said
+			l.ended[w] = n.reportedAt
 		default:
 			n.listed = n.listed || listed
 			n.confirmed = n.confirmed || leaving
 			l.notices[w] = n
 		}
 	}
-	for w, said := range l.ended {
-		if now > said+2*noticeTerm {
+	for w, reportedAt := range l.ended {
+		if now > reportedAt+2*noticeLifetime {
 			delete(l.ended, w)
 		}
 	}
--- a/member/liveness.go
+++ b/member/liveness.go
@@ -17,7 +17,7 @@
 
 const (
 	// maxPast bounds the memory of processes that were heard once.
-	maxPast = 4096
+	maxHeartbeatRecords = 4096
 	// clockDrift is the part by which two monotonic clocks may differ in rate; real
 	// ones differ by less than a thousandth of that.
 	clockDrift = 100
@@ -26,42 +26,42 @@
 )
 
 // lastHeard is what was last heard of a process.
-type lastHeard struct {
-	heard  time.Duration
-	clock  time.Duration
-	settle time.Duration
+type heartbeatRecord struct {
+	receivedAt         time.Duration
+	clock              time.Duration
+	identifierLifetime time.Duration
 	// replaced is the time at which another process was heard at the address; 0 until
 	// then.
-	replaced time.Duration
+	replacedAt time.Duration
 }
 
 // sight notes a heartbeat's clock, and that the address's former process is replaced.
-func (v *View) sight(now time.Duration, p *Peer) {
+func (v *View) recordHeartbeat(now time.Duration, p *Peer) {
 	process := Process{Address: p.Address, Incarnation: p.Incarnation}
-	s, known := v.past[process]
-	if !known || s.replaced != 0 {
-		v.replace(now, process)
+	s, known := v.heartbeats[process]
+	if !known || s.replacedAt != 0 {
+		v.markReplaced(now, process)
 	}
 	if !known {
-		v.seen = append(v.seen, process)
-		if len(v.seen) > maxPast {
-			delete(v.past, v.seen[0])
-			v.seen = v.seen[1:]
+		v.heartbeatOrder = append(v.heartbeatOrder, process)
+		if len(v.heartbeatOrder) > maxHeartbeatRecords {
+			delete(v.heartbeats, v.heartbeatOrder[0])
+			v.heartbeatOrder = v.heartbeatOrder[1:]
 		}
 	}
 	// It lives, also when a late heartbeat of a former process made it look replaced.
-	s.heard, s.clock, s.replaced = now, p.Clock, 0
+	s.receivedAt, s.clock, s.replacedAt = now, p.Clock, 0
 	// A longer deadline that was allowed before is still to be waited for.
-	s.settle = max(s.settle, p.IdentifierLifetime)
-	v.past[process] = s
+	s.identifierLifetime = max(s.identifierLifetime, p.IdentifierLifetime)
+	v.heartbeats[process] = s
 }
 
 // replace marks the former processes at the address of a new one.
-func (v *View) replace(now time.Duration, by Process) {
-	for p, s := range v.past {
-		if p.Address == by.Address && p != by && s.replaced == 0 {
-			s.replaced = max(now, 1)
-			v.past[p] = s
+func (v *View) markReplaced(now time.Duration, by Process) {
+	for p, s := range v.heartbeats {
+		if p.Address == by.Address && p != by && s.replacedAt == 0 {
+			s.replacedAt = max(now, 1)
+			v.heartbeats[p] = s
 		}
 	}
 }
@@ -74,16 +74,16 @@
 // Expired assumes only that the two monotonic clocks run at the same rate within one
 // part in a hundred.
 func (v *View) Liveness(now time.Duration, owner Process, minted time.Duration) Liveness {
-	s, ok := v.past[owner]
+	s, ok := v.heartbeats[owner]
 	if !ok {
 		return Unknown
 	}
-	if s.replaced != 0 && now > s.replaced+max(v.config.Timeout, v.config.RemoteTimeout) {
+	if s.replacedAt != 0 && now > s.replacedAt+max(v.config.Timeout, v.config.RemoteTimeout) {
 		return Replaced
 	}
-	passed := now - s.heard
-	atLeast := s.clock + passed - passed/clockDrift - clockMargin
-	if s.settle > 0 && atLeast > minted+s.settle {
+	passed := now - s.receivedAt
+	minClock := s.clock + passed - passed/clockDrift - clockMargin
+	if s.identifierLifetime > 0 && minClock > minted+s.identifierLifetime {
 		return Expired
 	}
 	return Unknown
--- a/member/successor.go
+++ b/member/successor.go
@@ -6,9 +6,9 @@
 const maxHops = 64
 
 // succession is the successor of a stopped process, known until a time.
-type succession struct {
+type successorRecord struct {
 	Process
-	until time.Duration
+	expiresAt time.Duration
 }
 
 // SetSuccessor records who keeps the answers of a stopped process, to be known for a
@@ -18,13 +18,13 @@
 	if _, ok := v.successors[stopped]; ok || keep <= 0 || stopped == successor {
 		return
 	}
-	v.successors[stopped] = succession{Process: successor, until: now + keep}
+	v.successors[stopped] = successorRecord{Process: successor, expiresAt: now + keep}
 }
 
 // dropSuccessors forgets those whose time is over.
-func (v *View) dropSuccessors(now time.Duration) {
+func (v *View) removeExpiredSuccessors(now time.Duration) {
 	for p, s := range v.successors {
-		if now >= s.until {
+		if now >= s.expiresAt {
 			delete(v.successors, p)
 		}
 	}
@@ -47,8 +47,8 @@
 // which that still has to be known.
 func (v *View) Successors(now time.Duration, fn func(stopped, successor Process, keep time.Duration)) {
 	for p, s := range v.successors {
-		if now < s.until {
-			fn(p, s.Process, s.until-now)
+		if now < s.expiresAt {
+			fn(p, s.Process, s.expiresAt-now)
 		}
 	}
 }
--- a/member/view.go
+++ b/member/view.go
@@ -53,10 +53,10 @@
 	config     Config
 	peers      map[netip.AddrPort]*Peer
 	candidates map[netip.AddrPort]string
-	successors map[Process]succession
-	past       map[Process]lastHeard
+	successors map[Process]successorRecord
+	heartbeats map[Process]heartbeatRecord
 	// seen holds the keys of past, oldest first.
-	seen []Process
+	heartbeatOrder []Process
 }
 
 // NewView returns a view without peers.
@@ -65,8 +65,8 @@
 		config:     c,
 		peers:      make(map[netip.AddrPort]*Peer),
 		candidates: make(map[netip.AddrPort]string),
-		successors: make(map[Process]succession),
-		past:       make(map[Process]lastHeard),
+		successors: make(map[Process]successorRecord),
+		heartbeats: make(map[Process]heartbeatRecord),
 	}
 }
 
@@ -123,7 +123,7 @@
 	changed = old == nil || !v.live(old, now) || old.Incarnation != p.Incarnation || old.Stopping != p.Stopping
 	p.LastHeartbeat = now
 	v.peers[p.Address] = &p
-	v.sight(now, &p)
+	v.recordHeartbeat(now, &p)
 	return changed
 }
 
@@ -148,7 +148,7 @@
 
 // Tick drops peers that have been silent too long and tells whether any was.
 func (v *View) Tick(now time.Duration) (changed bool) {
-	v.dropSuccessors(now)
+	v.removeExpiredSuccessors(now)
 	for a, p := range v.peers {
 		if !v.live(p, now) {
 			delete(v.peers, a)
