--- a/share/divide.go
+++ b/share/divide.go
@@ -15,7 +15,7 @@
 	Weight float64
 }
 
-func (c Demand) demand() float64 {
+func (c Demand) amount() float64 {
 	if c.Amount > 0 {
 		return c.Amount
 	}
@@ -32,23 +32,23 @@
 // Divide returns each claim's part of the capacity by weighted max-min: nobody gets more than
 // the demand, and what one leaves is divided among the others by weight. So a claim whose demand
 // is below its weight's part of the capacity gets all of it, whatever the others ask for.
-func Divide(capacity float64, claims []Demand) []float64 {
-	order := make([]int, len(claims))
+func Divide(capacity float64, demands []Demand) []float64 {
+	order := make([]int, len(demands))
 	weights := 0.0
-	for i, c := range claims {
+	for i, d := range demands {
 		order[i] = i
-		weights += c.weight()
+		weights += d.weight()
 	}
 	slices.SortFunc(order, func(a, b int) int {
-		return cmp.Compare(claims[a].demand()/claims[a].weight(), claims[b].demand()/claims[b].weight())
+		return cmp.Compare(demands[a].amount()/demands[a].weight(), demands[b].amount()/demands[b].weight())
 	})
-	parts := make([]float64, len(claims))
+	shares := make([]float64, len(demands))
 	left := max(capacity, 0)
 	for _, i := range order {
-		c := claims[i]
-		parts[i] = min(c.demand(), left*c.weight()/weights, left)
-		left -= parts[i]
-		weights -= c.weight()
+		d := demands[i]
+		shares[i] = min(d.amount(), left*d.weight()/weights, left)
+		left -= shares[i]
+		weights -= d.weight()
 	}
-	return parts
+	return shares
 }
