--- a/arbiter/arbiter.go
+++ b/arbiter/arbiter.go
@@ -7,32 +7,34 @@
 	"github.com/lavendercleat/lavendercleat/member"
 )
 
-// maxGrants bounds the grants that are remembered. Beyond it those that end next are dropped.
+// maxGrants is the maximum number of grants in memory. Above it, the arbiter drops the grants that
+// expire first.
 const maxGrants = 50000
 
-// Attempt is one of a coordinator's tries at a job. It may come to the same daemon again, and what that
-// has said of one try says nothing of a later one.
+// Attempt identifies one attempt of a coordinator to run a job. The same daemon can attempt a job
+// several times. A statement about one attempt says nothing about a later one.
 type Attempt struct {
 	Process member.Process
-	// Number grows with each try of the process.
+	// Number increases with each attempt of the process, at any job.
 	Number uint64
 }
 
 // GrantRequest asks an arbiter for the right to start a job.
 type GrantRequest struct {
 	Job string
-	// From asks.
+	// From is the attempt of the requesting coordinator.
 	From Attempt
-	// GrantDuration is for how long it may have the job under way.
+	// GrantDuration is how long the grant is valid.
 	GrantDuration time.Duration
-	// NotRunning is the last try of another coordinator of which nothing runs any more; the zero value for none.
+	// NotRunning is the last attempt of another coordinator that is known to have nothing running
+	// any more. It is the zero value if there is none.
 	NotRunning Attempt
 }
 
-// Verdict is an arbiter's answer.
+// Verdict is an arbiter's reply to a GrantRequest.
 type Verdict struct {
 	Granted bool
-	// Holder is the try that may have the job under way, where it is not granted.
+	// Holder is the attempt that may be running the job. It is set if the request is not granted.
 	Holder Attempt
 }
 
@@ -42,62 +44,65 @@
 	expiresAt time.Duration
 }
 
-// Arbiter remembers who may start which job. It is not safe for concurrent use.
+// Arbiter records which coordinator may start which job. It is not safe for concurrent use.
 type Arbiter struct {
 	grants map[string]*grant
-	// ends holds the grants, the one that ends first in front; those that were given back too, until then.
+	// byExpiry holds all grants that have not expired, released ones included.
 	byExpiry expiryHeap
 }
 
 // New returns an arbiter that has granted nothing.
 func New() *Arbiter { return &Arbiter{grants: make(map[string]*grant)} }
 
-// HandleRequest answers a question. A holder of which another one knows that nothing runs is displaced; it
-// has to be told, as it may be there still, beyond the sight of the one that asks.
-func (a *Arbiter) HandleRequest(now time.Duration, q GrantRequest) (v Verdict, displaced member.Process) {
-	g := a.grants[q.Job]
-	if g != nil && g.holder.Process != q.From.Process && now < g.expiresAt {
-		if g.holder.Process != q.NotRunning.Process || g.holder.Number > q.NotRunning.Number {
+// HandleRequest answers a request. If the requester knows that the current holder has nothing
+// running, the request displaces the holder. The caller must then notify the displaced holder: it
+// may still be alive, and unreachable for the requester only.
+func (a *Arbiter) HandleRequest(now time.Duration, req GrantRequest) (v Verdict, displaced member.Process) {
+	g := a.grants[req.Job]
+	if g != nil && g.holder.Process != req.From.Process && now < g.expiresAt {
+		if g.holder.Process != req.NotRunning.Process || g.holder.Number > req.NotRunning.Number {
 			return Verdict{Holder: g.holder}, member.Process{}
 		}
 		displaced = g.holder.Process
 	}
-	if g != nil && g.holder.Process == q.From.Process && g.holder.Number > q.From.Number {
-		return Verdict{Holder: g.holder}, member.Process{} // a question of an earlier try, held up
+	if g != nil && g.holder.Process == req.From.Process && g.holder.Number > req.From.Number {
+		return Verdict{Holder: g.holder}, member.Process{} // a delayed request of an earlier attempt
 	}
 	for len(a.byExpiry) >= maxGrants {
 		a.removeEarliest()
 	}
-	n := &grant{q.Job, q.From, now + q.GrantDuration}
-	a.grants[q.Job] = n
+	n := &grant{req.Job, req.From, now + req.GrantDuration}
+	a.grants[req.Job] = n
 	heap.Push(&a.byExpiry, n)
 	return Verdict{Granted: true}, displaced
 }
 
+// removeEarliest removes the grant that expires first.
 func (a *Arbiter) removeEarliest() {
 	if g := heap.Pop(&a.byExpiry).(*grant); a.grants[g.job] == g {
 		delete(a.grants, g.job)
 	}
 }
 
-// Release takes a coordinator's word that nothing of a try, and of those before, runs any more.
+// Release removes the grant of a job. Its coordinator has reported that nothing of the attempt, or of
+// an earlier one, runs any more.
 func (a *Arbiter) Release(job string, t Attempt) {
 	if g := a.grants[job]; g != nil && g.holder.Process == t.Process && g.holder.Number <= t.Number {
 		delete(a.grants, job)
 	}
 }
 
-// RemoveExpired forgets what is over.
+// RemoveExpired removes the grants that have expired.
 func (a *Arbiter) RemoveExpired(now time.Duration) {
 	for len(a.byExpiry) > 0 && now >= a.byExpiry[0].expiresAt {
 		a.removeEarliest()
 	}
 }
 
-// GrantCount returns the number of grants that are remembered.
+// GrantCount returns the number of grants in memory.
 func (a *Arbiter) GrantCount() int { return len(a.grants) }
 
-// byEnd is a heap of grants by their ends.
+// expiryHeap orders grants by their expiry; the first to expire is in front.
 type expiryHeap []*grant
 
 func (h expiryHeap) Len() int           { return len(h) }
--- a/arbiter/bench_test.go
+++ b/arbiter/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/lavendercleat/lavendercleat/member"
 )
 
-// alone is the view of a daemon that answers its own questions.
+// singleView is the view of a benchmark client: three fixed arbiters, all reachable.
 type singleView struct{}
 
 func (singleView) Arbiters(string, int) []member.Process {
@@ -16,7 +16,7 @@
 }
 func (singleView) Reachable(member.Process) bool { return true }
 
-// What one job costs a client and its three arbiters, without the links.
+// BenchmarkStart measures the work of a client and its three arbiters for one job, without the network.
 func BenchmarkStart(b *testing.B) {
 	c := NewClient(process(0), singleView{})
 	arbiters := []*Arbiter{New(), New(), New()}
--- a/arbiter/client.go
+++ b/arbiter/client.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// replicas is how many arbiters a job has: one may be lost with what it remembers, or be chosen
-	// by a daemon that doesn't see the same others.
+	// arbitersPerJob is the number of arbiters of a job. One of them may fail and lose its grants, or
+	// be chosen by a daemon that does not reach the same peers.
 	arbitersPerJob = 3
-	// askPatience is how long the answers of all arbiters are waited for. Then those of most suffice:
-	// of any two daemons that have them, one arbiter has answered both.
+	// grantTimeout is how long a client waits for the verdicts of all arbiters. After it, the grants of
+	// a majority suffice: any two majorities have an arbiter in common.
 	grantTimeout = 100 * time.Millisecond
-	// reaskPause is the time between questions about a job whose holder can't be asked.
+	// retryInterval is the time between requests for a job whose holder is unreachable.
 	retryInterval = 100 * time.Millisecond
-	// holdMargin is added to the time for which a caller waits: afterwards its job is given up, and
-	// what runs is stopped.
+	// grantMargin is added to the time for which the caller waits. Within this time after the caller's
+	// deadline the coordinator gives up the job and stops its runs.
 	grantMargin = 10 * time.Second
 )
 
-// Client asks for the right to start jobs and tells others of those that it has. It is not safe
-// for concurrent use.
+// Client acquires the right to start jobs, and answers queries about the jobs that it holds. It is
+// not safe for concurrent use.
 type Client struct {
 	self member.Process
 	view View
 	jobs map[string]*acquisition
-	// tries counts the tries at all jobs.
+	// attempts counts the attempts at all jobs.
 	attempts uint64
 	out      Output
 }
@@ -39,15 +39,15 @@
 	return &Client{self: self, view: v, jobs: make(map[string]*acquisition)}
 }
 
-// Drain returns what the user has to carry out since the last call.
+// Drain returns the actions for the caller that have accumulated since the last call.
 func (c *Client) Drain() Output {
 	o := c.out
 	c.out = Output{}
 	return o
 }
 
-// RequestStart asks for the right to start a job, for a caller that waits until a time. A job that is
-// still ending here is asked for when that is over.
+// RequestStart requests the right to start a job whose caller waits until the deadline. If an earlier
+// attempt at the job is still stopping here, the request is made after that has stopped.
 func (c *Client) RequestStart(now time.Duration, job string, deadline time.Duration) {
 	if a := c.jobs[job]; a != nil && a.state == stopping {
 		a.restart, a.requestedAt, a.deadline = true, now, deadline
@@ -56,7 +56,7 @@
 	c.startAttempt(now, &acquisition{job: job, requestedAt: now, deadline: deadline})
 }
 
-// begin begins a try at a job.
+// startAttempt starts a new attempt at a job.
 func (c *Client) startAttempt(now time.Duration, a *acquisition) {
 	c.attempts++
 	a.attempt = c.attempts
@@ -64,14 +64,15 @@
 	c.requestGrants(now, a)
 }
 
-// ask asks all of a job's arbiters.
+// requestGrants requests the job from all of its arbiters.
 func (c *Client) requestGrants(now time.Duration, a *acquisition) {
 	a.state, a.timeoutAt = requesting, now+grantTimeout
 	a.asked, a.replies = nil, make(map[member.Process]reply)
 	c.updateArbiters(now, a)
 }
 
-// choose takes the arbiters that are seen now, and asks those that were not asked yet.
+// updateArbiters selects the arbiters among the daemons that are reachable now, and requests the job
+// from those that were not asked yet.
 func (c *Client) updateArbiters(now time.Duration, a *acquisition) {
 	a.arbiters = c.view.Arbiters(a.job, arbitersPerJob)
 	for _, p := range a.arbiters {
@@ -85,7 +86,7 @@
 func (c *Client) sendRequest(now time.Duration, a *acquisition, p member.Process) {
 	a.replies[p] = pending
 	if !c.view.Reachable(p) {
-		a.replies[p] = unknown // it can't be asked before it is back
+		a.replies[p] = unknown // HandleReachable requests again
 		return
 	}
 	c.send(Message{To: p, Request: &GrantRequest{Job: a.job, From: Attempt{c.self, a.attempt}, GrantDuration: a.deadline - now + grantMargin, NotRunning: a.notRunning}})
@@ -93,7 +94,7 @@
 
 func (c *Client) send(m Message) { c.out.Messages = append(c.out.Messages, m) }
 
-// sorted returns the jobs in a repeatable order.
+// sortedJobs returns the jobs in a deterministic order.
 func (c *Client) sortedJobs() []*acquisition {
 	list := slices.Collect(maps.Values(c.jobs))
 	slices.SortFunc(list, func(a, b *acquisition) int {
@@ -102,12 +103,12 @@
 	return list
 }
 
-// HandleVerdict takes an arbiter's verdict.
+// HandleVerdict handles an arbiter's verdict.
 func (c *Client) HandleVerdict(now time.Duration, from member.Process, job string, v Verdict) {
 	a := c.jobs[job]
 	if a == nil {
 		if v.Granted {
-			c.send(Message{To: from, Release: job, Attempt: c.attempts}) // its callers have left meanwhile
+			c.send(Message{To: from, Release: job, Attempt: c.attempts}) // the callers have left since the request
 		}
 		return
 	}
@@ -119,9 +120,9 @@
 	case v.Granted:
 		a.replies[from] = granted
 		c.startIfGranted(now, a)
-	case v.Holder.Process == c.self: // an earlier question of this daemon's was held up
+	case v.Holder.Process == c.self: // the verdict on a delayed request of an earlier attempt
 	case a.state == started && previous == pending:
-		// Most others have granted it, so the one named here can't have started it.
+		// A majority has granted the job to this daemon, so that holder cannot have started it.
 	case a.state == started:
 		c.out.Revoked = append(c.out.Revoked, job)
 	default:
@@ -129,7 +130,7 @@
 	}
 }
 
-// evaluate starts a job that all arbiters have granted, or most while others are silent.
+// startIfGranted starts the job if all arbiters have granted it, or, after grantTimeout, a majority.
 func (c *Client) startIfGranted(now time.Duration, a *acquisition) {
 	if a.state != requesting || len(a.arbiters) == 0 {
 		return
@@ -146,8 +147,9 @@
 	}
 }
 
-// await waits for the holder that an arbiter has named. Those that wait here though they precede this
-// daemon, as it had started the job, are told that nothing of it runs here: they may be the holder.
+// waitForHolder waits for the holder that an arbiter has named. The client tells each waiter that
+// precedes this daemon that nothing of the job runs here. Such a daemon waited because this one had
+// started the job, and it may itself be the holder.
 func (c *Client) waitForHolder(now time.Duration, a *acquisition, v Verdict) {
 	seen := c.view.Reachable(v.Holder.Process)
 	if a.holder.Process != v.Holder.Process {
@@ -161,14 +163,14 @@
 		}
 	}
 	if !seen {
-		a.timeoutAt = now + retryInterval // it may return its right meanwhile
+		a.timeoutAt = now + retryInterval // the holder may release its grant meanwhile
 		c.out.QuiescenceChecks = append(c.out.QuiescenceChecks, v.Holder.Process)
 		return
 	}
 	c.queryHolder(a)
 }
 
-// inquire asks the holder, which tells of itself then.
+// queryHolder queries the holder, which replies when it has an answer or nothing of the job runs there.
 func (c *Client) queryHolder(a *acquisition) {
 	a.timeoutAt = a.deadline
 	c.send(Message{To: a.holder.Process, Query: a.job})
@@ -178,13 +180,14 @@
 	c.send(Message{To: to, NotRunning: a.job, Attempt: a.attempt})
 }
 
-// precedes puts daemons in an order. Of those that have not started a job, one waits for another
-// only if that precedes it: otherwise some could wait in a circle.
+// precedes reports whether this daemon is before p in a total order of daemons. A daemon that has not
+// started a job waits for another such daemon only if that one precedes it. Otherwise daemons could
+// wait for each other in a cycle.
 func (c *Client) precedes(p member.Process) bool {
 	return cmp.Or(c.self.Address.Compare(p.Address), cmp.Compare(c.self.Incarnation, p.Incarnation)) < 0
 }
 
-// yield leaves a job that has not started here to one that has inquired, and waits for that.
+// yield leaves a job that has not started here to a daemon that has queried it, and waits for that one.
 func (c *Client) yield(a *acquisition, to member.Process) {
 	if a.state == waiting && a.holder.Process != to {
 		c.send(Message{To: a.holder.Process, CancelQuery: a.job})
@@ -195,8 +198,8 @@
 	c.queryHolder(a)
 }
 
-// HandleQuery takes the question of a daemon that was told that this one has the job. It waits for
-// the job's answer then, or is told that nothing of it runs here.
+// HandleQuery handles a query of a daemon to which an arbiter has named this one as the job's holder.
+// The daemon becomes a waiter for the job's answer, or is told that nothing of the job runs here.
 func (c *Client) HandleQuery(from member.Process, job string) {
 	a := c.jobs[job]
 	switch {
@@ -209,7 +212,7 @@
 	}
 }
 
-// HandleCancelQuery takes an inquiry back; false when there was none.
+// HandleCancelQuery removes a waiter. It returns false if the daemon was not waiting.
 func (c *Client) HandleCancelQuery(from member.Process, job string) bool {
 	a := c.jobs[job]
 	return a != nil && c.removeWaiter(a, from)
@@ -221,7 +224,8 @@
 	return len(a.waiters) < before
 }
 
-// HandleNotRunning takes a holder's word that nothing of the job runs there, of a try or an earlier one.
+// HandleNotRunning handles a holder's reply that nothing of the job runs there, of the attempt or of an
+// earlier one.
 func (c *Client) HandleNotRunning(now time.Duration, from member.Process, job string, attempt uint64) {
 	if a := c.jobs[job]; a != nil && a.state == waiting && a.holder.Process == from {
 		a.notRunning = Attempt{from, attempt}
@@ -229,7 +233,8 @@
 	}
 }
 
-// HandleQuiescence tells that a holder is out of sight and no executor has anything of its jobs any more.
+// HandleQuiescence handles a confirmed quiescence check: the holder is unreachable, and no executor
+// runs anything of its jobs any more.
 func (c *Client) HandleQuiescence(now time.Duration, holder member.Process) {
 	for _, a := range c.sortedJobs() {
 		if (a.state == waiting || a.state == requesting) && a.holder.Process == holder && a.notRunning != a.holder && !c.view.Reachable(holder) {
@@ -239,7 +244,7 @@
 	}
 }
 
-// WaitsFor reports whether a daemon is waited for to answer the job.
+// WaitsFor reports whether the client waits for p to answer the job.
 func (c *Client) WaitsFor(p member.Process, job string) bool {
 	a := c.jobs[job]
 	return a != nil && a.state == waiting && a.holder.Process == p
@@ -251,8 +256,8 @@
 	return a != nil && len(a.waiters) > 0
 }
 
-// Complete ends a job that has its answer, and returns who waits for it too. While something of it
-// may still run, ConfirmStopped is to follow.
+// Complete ends a job that has its answer, and returns the daemons that wait for the answer too. If
+// runs of the job may not have stopped yet, the caller must call ConfirmStopped later.
 func (c *Client) Complete(job string, stopped bool) []member.Process {
 	a := c.jobs[job]
 	if a == nil {
@@ -267,16 +272,16 @@
 	return waiters
 }
 
-// Revoke takes a started job back that was granted to another. When ConfirmStopped has told that nothing of
-// it runs any more, it is asked for again.
+// Revoke gives up a started job that was granted to another daemon. After ConfirmStopped the client
+// requests the job again.
 func (c *Client) Revoke(job string) {
 	if a := c.jobs[job]; a != nil && a.state == started {
 		a.state, a.restart = stopping, true
 	}
 }
 
-// Abandon ends a job that this daemon doesn't run to its end. Something of it may still run,
-// until ConfirmStopped.
+// Abandon ends a job without an answer. Runs of the job may continue until the caller calls
+// ConfirmStopped.
 func (c *Client) Abandon(job string) {
 	a := c.jobs[job]
 	if a == nil {
@@ -288,7 +293,7 @@
 	a.state, a.restart = stopping, false
 }
 
-// ConfirmStopped tells that nothing of the job runs here any more.
+// ConfirmStopped records that nothing of the job runs here any more.
 func (c *Client) ConfirmStopped(now time.Duration, job string) {
 	a := c.jobs[job]
 	if a == nil || a.state != stopping {
@@ -310,7 +315,7 @@
 	}
 }
 
-// HandleUnreachable tells that a daemon is out of sight.
+// HandleUnreachable records that a daemon is unreachable.
 func (c *Client) HandleUnreachable(now time.Duration, p member.Process) {
 	for _, a := range c.sortedJobs() {
 		if c.removeWaiter(a, p) {
@@ -330,9 +335,10 @@
 	}
 }
 
-// HandleReachable tells that a daemon is in sight, again or for the first time. It is asked what it wasn't, or
-// may have granted to another one meanwhile. One that takes an arbiter's place learns of the jobs
-// that are under way here, or it would grant them to others.
+// HandleReachable records that a daemon is reachable, again or for the first time. The client requests
+// jobs from it that it was not asked for, or that it may have granted to another daemon meanwhile. A
+// daemon that becomes an arbiter of a started job is told of the job; otherwise it would grant the job
+// to others.
 func (c *Client) HandleReachable(now time.Duration, p member.Process) {
 	for _, a := range c.sortedJobs() {
 		r, asked := a.replies[p]
@@ -344,12 +350,12 @@
 			c.sendRequest(now, a, p)
 		case a.state == started:
 			c.sendRequest(now, a, p)
-			a.replies[p] = unknown // if it is another's now, that one may have started it
+			a.replies[p] = unknown // if it names another holder, that one may have started the job
 		}
 	}
 }
 
-// Tick lets time pass.
+// Tick handles the time-outs that have expired.
 func (c *Client) Tick(now time.Duration) {
 	for _, a := range c.sortedJobs() {
 		switch {
--- a/arbiter/client_test.go
+++ b/arbiter/client_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A caller comes again elsewhere while its job is under way: it would be started twice.
+// A caller submits its job to a second daemon while the first runs it. The job must not start twice.
 func TestSecondDaemonWaitsForHolder(t *testing.T) {
 	f := newFleet(t, 5)
 	f.daemons[0].requestStart("j")
@@ -25,7 +25,8 @@
 	assert.DeepEqual(t, f.daemons[1].answered, []string{"j"})
 }
 
-// A caller comes again elsewhere while its job is being stopped: it would start before that is over.
+// A caller submits its job to a second daemon while the first is stopping it. The job must not start
+// before the first has stopped.
 func TestSecondDaemonWaitsUntilHolderHasStopped(t *testing.T) {
 	f := newFleet(t, 5)
 	f.daemons[0].requestStart("j")
@@ -39,7 +40,7 @@
 	assert.DeepEqual(t, f.runs("j"), []int{1})
 }
 
-// A job that ended long ago comes again elsewhere: its first daemon has nothing of it any more.
+// A job that completed long ago is submitted to another daemon. The first daemon no longer knows the job.
 func TestCompletedJobStartsElsewhere(t *testing.T) {
 	f := newFleet(t, 5)
 	f.daemons[0].requestStart("j")
@@ -50,7 +51,7 @@
 	assert.DeepEqual(t, f.runs("j"), []int{1})
 }
 
-// A caller that comes back to the daemon that is still stopping its first try.
+// A caller submits its job again to the daemon that is still stopping the first attempt.
 func TestJobIsRequestedAgainWhileStopping(t *testing.T) {
 	f := newFleet(t, 3)
 	f.daemons[0].requestStart("j")
@@ -64,7 +65,7 @@
 	assert.DeepEqual(t, f.runs("j"), []int{0})
 }
 
-// loses has daemon 0 out of sight of the others.
+// disconnect makes daemon 0 and the others unreachable for each other.
 func (f *fleet) disconnect(others ...*daemon) {
 	for _, d := range others {
 		d.unreachable[0] = true
@@ -73,7 +74,8 @@
 	}
 }
 
-// The holder is out of sight: its job would start elsewhere before it is cleared, or never.
+// The holder is unreachable. Its job must not start elsewhere before the quiescence check succeeds, and
+// must start after it.
 func TestUnreachableHolder(t *testing.T) {
 	f := newFleet(t, 5)
 	f.daemons[0].requestStart("j")
@@ -90,7 +92,8 @@
 	assert.DeepEqual(t, f.runs("j"), []int{0, 1})
 }
 
-// A holder in sight of an arbiter that gives its job away would go on starting tasks.
+// An arbiter that grants the job to another daemon reaches the holder. Unless it notifies the holder,
+// the holder continues to start tasks.
 func TestDisplacedHolderIsNotified(t *testing.T) {
 	f := newFleet(t, 5)
 	f.daemons[0].requestStart("j")
@@ -104,7 +107,8 @@
 	assert.DeepEqual(t, f.runs("j"), []int{1})
 }
 
-// A holder whose job went to another one while it was out of sight would run it too.
+// The job was granted to another daemon while its holder was unreachable. When the holder is reachable
+// again, it must not continue to run the job.
 func TestDisplacedHolderIsReachableAgain(t *testing.T) {
 	f := newFleet(t, 5)
 	f.daemons[0].requestStart("j")
@@ -129,7 +133,8 @@
 	assert.DeepEqual(t, f.daemons[0].answered, []string{"j"})
 }
 
-// A silent arbiter would stop all jobs, or two of them start a job that another daemon has.
+// Arbiters do not answer. One such arbiter must not block all jobs; two must not let a daemon start a job
+// that another daemon may hold.
 func TestArbitersThatDoNotAnswer(t *testing.T) {
 	f := newFleet(t, 5)
 	f.daemons[0].requestStart("j")
@@ -152,7 +157,8 @@
 	assert.DeepEqual(t, f.runs("k"), []int{0})
 }
 
-// A caller gives up while its job waits for another daemon: it is told whether it may have run.
+// A caller's deadline passes while its job waits for another daemon. The daemon must report that the job
+// may have run.
 func TestCallerLeavesBeforeGrant(t *testing.T) {
 	f := newFleet(t, 5)
 	f.daemons[0].requestStart("j")
@@ -169,13 +175,14 @@
 	assert.Assert(t, !f.daemons[0].client.HasWaiters("j"))
 }
 
-// The same job comes to several daemons at once, messages in any order: two start it, or none does.
+// The same job is submitted to several daemons at once, and messages arrive in any order. Exactly one
+// daemon must start it.
 func TestOnlyOneDaemonStartsJob(t *testing.T) {
 	const orders = 4000
 	for seed := range uint64(orders) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		f := newFleet(t, 5)
-		// Daemon 0 doesn't see daemon 4, so that not all have the same arbiters.
+		// Daemons 0 and 4 cannot reach each other, so not all daemons have the same arbiters.
 		f.daemons[0].unreachable[4], f.daemons[4].unreachable[0] = true, true
 		callers := 2 + r.IntN(2)
 		for i := range callers {
@@ -204,7 +211,7 @@
 	}
 }
 
-// A flood of jobs: what an arbiter remembers stays bounded.
+// A burst of jobs must not make an arbiter's memory grow without bound.
 func TestGrantsAreBounded(t *testing.T) {
 	a := New()
 	for i := range maxGrants + 10 {
--- a/arbiter/harness_test.go
+++ b/arbiter/harness_test.go
@@ -8,13 +8,13 @@
 	"github.com/lavendercleat/lavendercleat/member"
 )
 
-// fleet is a few daemons whose messages wait until they are delivered, in order between each two.
+// fleet is a set of daemons. Their messages wait until they are delivered, in order for each link.
 type fleet struct {
 	t       *testing.T
 	now     time.Duration
 	daemons []*daemon
 	links   map[[2]int][]func()
-	// running counts, by daemon, jobs that were started and are not over.
+	// running holds, by job, the daemons at which the job was started and has not ended.
 	running map[string]map[int]bool
 }
 
@@ -23,11 +23,11 @@
 	number  int
 	arbiter *Arbiter
 	client  *Client
-	// unseen are the daemons that it has lost.
+	// unreachable holds the daemons that this one cannot reach.
 	unreachable map[int]bool
-	// clear lists the holders that it wants to be cleared.
+	// quiescenceChecks lists the holders for which the client wants a quiescence check.
 	quiescenceChecks []member.Process
-	// answered lists the jobs that it answered, by itself or by another's answer.
+	// answered lists the jobs that the daemon has answered, itself or with another daemon's answer.
 	answered []string
 }
 
@@ -45,7 +45,7 @@
 	return f
 }
 
-// Arbiters implements View: by number, beginning with the last, so that daemon 0 is the last resort.
+// Arbiters implements View. It selects the daemons with the highest numbers, so daemon 0 comes last.
 func (d *daemon) Arbiters(_ string, n int) (list []member.Process) {
 	for i := len(d.f.daemons) - 1; i >= 0 && len(list) < n; i-- {
 		if !d.unreachable[i] {
@@ -58,7 +58,7 @@
 // Reachable implements View.
 func (d *daemon) Reachable(p member.Process) bool { return !d.unreachable[int(p.Incarnation)-1] }
 
-// flush queues what the daemon has to say, and carries out what it decided.
+// carryOut carries out the client's output: it queues the messages and starts or stops jobs.
 func (d *daemon) carryOut() {
 	o := d.client.Drain()
 	for _, m := range o.Messages {
@@ -82,7 +82,7 @@
 	}
 }
 
-// stop ends what runs of a job and tells the client.
+// stop stops the runs of a job and tells the client.
 func (d *daemon) stop(job string) {
 	delete(d.f.running[job], d.number)
 	d.client.ConfirmStopped(d.f.now, job)
@@ -122,7 +122,7 @@
 	})
 }
 
-// deliver delivers the next message of a link; false when there is none.
+// deliver delivers the next message of a link. It returns false if there is none.
 func (f *fleet) deliver(from, to int) bool {
 	key := [2]int{from, to}
 	if len(f.links[key]) == 0 {
@@ -134,7 +134,7 @@
 	return true
 }
 
-// settle delivers all that is under way.
+// deliverAll delivers messages until none is in flight.
 func (f *fleet) deliverAll() {
 	for moved := true; moved; {
 		moved = false
@@ -156,7 +156,7 @@
 	}
 }
 
-// runs returns the daemons at which a job runs.
+// runs returns the daemons at which a job is running.
 func (f *fleet) runs(job string) (list []int) {
 	for i := range f.daemons {
 		if f.running[job][i] {
@@ -171,13 +171,13 @@
 	d.carryOut()
 }
 
-// complete ends a job well at its holder.
+// complete ends a job successfully at its holder.
 func (d *daemon) complete(job string) {
 	delete(d.f.running[job], d.number)
 	d.answer(job)
 }
 
-// answer tells the daemons that wait for the job of its answer, and they those that wait for them.
+// answer sends the job's answer to the daemons that wait for it. They send it to their own waiters.
 func (d *daemon) answer(job string) {
 	for _, p := range d.client.Complete(job, true) {
 		to := d.f.daemons[p.Incarnation-1]
--- a/arbiter/messages.go
+++ b/arbiter/messages.go
@@ -6,108 +6,113 @@
 	"github.com/lavendercleat/lavendercleat/member"
 )
 
-// Message is for another daemon, or this one: one of Request, Release, Query, CancelQuery and NotRunning is set.
+// Message is a message to another daemon, or to this one. Exactly one of Request, Release, Query,
+// CancelQuery and NotRunning is set.
 type Message struct {
 	To member.Process
-	// Request is for an arbiter, which answers with a Verdict; Release tells it that nothing of
-	// the job runs for the sender any more, of this try or an earlier one.
+	// Request is sent to an arbiter, which replies with a Verdict. Release tells an arbiter that the
+	// sender has nothing of the job running any more, of this attempt or an earlier one.
 	Request *GrantRequest
 	Release string
-	// Query asks a job's holder for its answer, or for the word that nothing of it runs there;
-	// CancelQuery takes that back.
+	// Query asks a job's holder for the answer, or for the report that nothing of the job runs there.
+	// CancelQuery withdraws the query.
 	Query       string
 	CancelQuery string
-	// NotRunning answers an inquiry: nothing of the job runs at the sender, of this try or an earlier one.
+	// NotRunning replies to a query: the sender has nothing of the job running, of this attempt or an
+	// earlier one.
 	NotRunning string
-	// Attempt is the number of the sender's try, for Release and NotRunning.
+	// Attempt is the number of the sender's attempt, for Release and NotRunning.
 	Attempt uint64
 }
 
-// Output is what the user has to carry out.
+// Output holds the actions that the caller of Drain must carry out.
 type Output struct {
 	Messages []Message
 	// Start lists jobs that may be started now.
 	Start []string
-	// Revoked lists started jobs that were granted to another meanwhile: they are to be stopped.
+	// Revoked lists started jobs that were granted to another daemon meanwhile. They must be stopped.
 	Revoked []string
-	// Expired lists jobs whose callers don't wait any longer for the right to start them.
+	// Expired lists jobs whose callers no longer wait for the right to start them.
 	Expired []Expiry
-	// WaiterUnreachable lists jobs that a daemon waited for here which is lost.
+	// WaiterUnreachable lists jobs for whose answer a daemon waited here that is now unreachable.
 	WaiterUnreachable []string
-	// HeldElsewhere lists jobs that another daemon was found to have, for the log.
+	// HeldElsewhere lists jobs that were found to be held by another daemon, for the log.
 	HeldElsewhere []HeldJob
-	// QuiescenceChecks lists holders that can't be asked: HandleQuiescence is to tell when no executor has anything of
-	// theirs any more.
+	// QuiescenceChecks lists holders that are unreachable. The caller must call HandleQuiescence when
+	// no executor runs anything of their jobs any more.
 	QuiescenceChecks []member.Process
 }
 
-// Expiry is the end of the wait for the right to start a job; MayHaveRun, that another daemon may
-// have run it.
+// Expiry is a job whose caller's deadline has passed before the job was granted.
 type Expiry struct {
-	Job        string
+	Job string
+	// MayHaveRun reports that another daemon may have run the job.
 	MayHaveRun bool
 }
 
-// HeldJob tells that a job waits for another daemon.
+// HeldJob is a job that waits for another daemon.
 type HeldJob struct {
 	Job    string
 	Holder member.Process
-	// Reachable: the holder can be asked.
+	// Reachable reports whether the holder can be queried.
 	Reachable bool
 }
 
-// View is what the user sees of the fleet.
+// View is this daemon's view of the fleet.
 type View interface {
-	// Arbiters returns a job's first n arbiters among the daemons in sight, this one included, and
-	// those that have been out of sight for a moment only; none while it is to wait for links.
+	// Arbiters returns a job's first n arbiters. It considers this daemon, the reachable ones, and
+	// those that became unreachable only a moment ago. It returns none while the caller must wait for
+	// links to be established.
 	Arbiters(job string, n int) []member.Process
 	// Reachable reports whether messages reach a daemon.
 	Reachable(p member.Process) bool
 }
 
-// state is what a client does about a job.
+// state is the state of a job at a client.
 type state uint8
 
 const (
-	// asking: arbiters are asked.
+	// requesting: the client waits for verdicts of arbiters.
 	requesting state = iota
-	// waiting: another daemon has the job.
+	// waiting: another daemon holds the job.
 	waiting
-	// started: it was granted.
+	// started: the job was granted to this daemon.
 	started
-	// ending: it is over here, but tasks of it may still run.
+	// stopping: this daemon has ended the job, but tasks of it may still run.
 	stopping
 )
 
-// reply is what is known of an arbiter's opinion on a job.
+// reply is the last known reply of an arbiter to a request.
 type reply uint8
 
 const (
-	// pending: it was asked.
+	// pending: the request was sent.
 	pending reply = iota
 	granted
-	// unsure: it was lost with its link after it was asked. The question may not have come there, and
-	// what it had granted may have gone to another. It is asked again when it is back.
+	// unknown: the arbiter became unreachable after the request. The request may not have arrived, or
+	// the arbiter may have granted the job to another daemon since. The client requests again when the
+	// arbiter is reachable.
 	unknown
 )
 
-// application is a job for which the right to start is asked for, or held.
+// acquisition is a job for which the client requests, or holds, the right to start.
 type acquisition struct {
 	job                   string
 	attempt               uint64
 	state                 state
 	requestedAt, deadline time.Duration
 	arbiters              []member.Process
-	// asked are all that were asked since the job was last asked for, with their replies.
+	// asked lists the arbiters that were asked since requestGrants, with their replies.
 	asked   []member.Process
 	replies map[member.Process]reply
-	// askAt is when the answers of most arbiters suffice, or all of them are asked again.
+	// timeoutAt is when the grants of a majority suffice, or when all arbiters are asked again.
 	timeoutAt time.Duration
-	// holder has the job, as was last heard. over is the last try of another of which nothing runs any
-	// more; it is told until the job is granted or another holder named.
+	// holder is the last known holder of the job. notRunning is the last attempt of another daemon that
+	// is known to have nothing running. Requests carry it until the job is granted or an arbiter names
+	// another holder.
 	holder, notRunning Attempt
-	// inquirers wait for the job's end here.
+	// waiters are the daemons that wait here for the end of the job.
 	waiters []member.Process
-	// again: it has come again while it was ending.
+	// restart: the job was requested again while it was stopping.
 	restart bool
 }
