--- a/fleet/arbiters.go
+++ b/fleet/arbiters.go
@@ -7,9 +7,9 @@
 	"github.com/lavendercleat/lavendercleat/member"
 )
 
-// Arbiters returns the n members that rate a job highest, the first one first: a function of its
-// inputs alone, so daemons that see the same members ask the same ones, and one that comes or
-// goes changes the arbiters of few jobs.
+// Arbiters returns the n members with the highest scores for a job, the highest first. The result
+// depends on the inputs alone, so daemons with the same members select the same arbiters. A member
+// that joins or leaves changes the arbiters of few jobs.
 func Arbiters(job string, members []Member, n int) []member.Process {
 	type scored struct {
 		process member.Process
--- a/fleet/arbiters_test.go
+++ b/fleet/arbiters_test.go
@@ -21,7 +21,8 @@
 	return list
 }
 
-// Daemons that see the fleet differently by one member would have no arbiter in common.
+// The views of two daemons differ by one member. Both must still have an arbiter in common, or each
+// could be granted the same job.
 func TestDifferentViewsShareAnArbiter(t *testing.T) {
 	members := equalMembers(20)
 	for i := range 500 {
--- a/fleet/assign.go
+++ b/fleet/assign.go
@@ -1,4 +1,5 @@
-// Package fleet decides which daemon holds which worker.
+// Package fleet assigns workers to the daemons that hold them, selects the arbiters of a job, and
+// divides a large fleet into cells. All daemons compute the same result from the same view.
 package fleet
 
 import (
@@ -16,25 +17,27 @@
 type Member struct {
 	member.Process
 	Domain string
-	// Weight is what the daemon can carry, compared with others; 0 counts as 1.
+	// Weight is the daemon's capacity, relative to others; 0 counts as 1.
 	Weight float64
 }
 
 const (
-	// workersPerCore is how many workers a daemon holds for each core of its processor where
-	// others of its failure domain can carry the rest: with tasks of some tenths of a second it
-	// has processor left then, were it to do alone all that daemons do for these tasks.
+	// workersPerCore is the number of workers that a daemon holds per core of its processor, where
+	// other daemons of its failure domain can hold the rest. With tasks of some tenths of a second, a
+	// daemon has processor time left at this number even if it alone does all the daemons' work for
+	// these tasks.
 	workersPerCore = 100
-	// minHolders is the least number of holders in a failure domain, if it has as many
-	// daemons: when one is lost, the other's workers serve on while the rest are taken over.
+	// minHolders is the least number of holders in a failure domain, if the domain has as many
+	// daemons. When one holder is lost, the workers of the other continue to serve while the rest are
+	// taken over.
 	minHolders = 2
 )
 
-// Assign returns the holder of each worker, by the worker's ID. It is a function of its
-// inputs alone, so daemons with equal views agree without a message; while views differ,
-// fencing tokens decide. A worker goes to a member of its own failure domain while there
-// is one, for a domain that is cut off has to go on by itself. Within a domain each
-// member gets a number by its weight, and the loss of a member moves few workers besides its own.
+// Assign returns the holder of each worker, by the worker's ID. The result depends on the inputs
+// alone, so daemons with equal views agree without a message. While views differ, fencing tokens
+// decide. A worker is assigned to a member of its own failure domain if there is one, because a
+// domain that is cut off must continue by itself. Within a domain each member gets a number of
+// workers by its weight. The loss of a member moves few workers besides its own.
 func Assign(workers []executor.WorkerInfo, members []Member) map[string]member.Process {
 	holders := make(map[string]member.Process, len(workers))
 	byDomain := make(map[string][]Member)
@@ -59,11 +62,12 @@
 	return holders
 }
 
-// carriers returns the daemons of a failure domain that hold its workers: the strongest, as
-// many as can carry so many workers. Few holders with many workers each place tasks better
-// than many with few: a task that is large for a worker fits more often, and what waits is
-// started by its urgency among more, where coordinators would have to guess at which of many
-// queues there is room next. Where processors are not known, all hold workers.
+// chooseHolders returns the daemons of a failure domain that hold its workers: the strongest ones,
+// as many as can hold that number of workers. Few holders with many workers each place tasks better
+// than many holders with few workers. A task that is large for a worker fits more often, and the
+// holder orders more waiting tasks by urgency. With many holders, coordinators would have to guess
+// which of many queues has free capacity next. If the processors of the daemons are not known, all
+// of them hold workers.
 func chooseHolders(workers int, members []Member) []Member {
 	if slices.ContainsFunc(members, func(m Member) bool { return m.Weight <= 0 }) {
 		return members
@@ -82,8 +86,8 @@
 	return strongest
 }
 
-// divide gives each worker to the member that rates it highest and has not its full
-// number yet (weighted rendezvous hashing with bounded loads).
+// assignPool assigns each worker to the member with the highest score that has not reached its
+// quota (weighted rendezvous hashing with bounded loads).
 func assignPool(pool []executor.WorkerInfo, members []Member, holders map[string]member.Process) {
 	if len(members) == 0 {
 		return
@@ -93,8 +97,8 @@
 	for _, w := range pool {
 		best, bestScore := -1, 0.0
 		for i := range members {
-			if r := score(w.ID, &members[i]); limits[i] > 0 && (best < 0 || r > bestScore) {
-				best, bestScore = i, r
+			if s := score(w.ID, &members[i]); limits[i] > 0 && (best < 0 || s > bestScore) {
+				best, bestScore = i, s
 			}
 		}
 		limits[best]--
@@ -102,8 +106,8 @@
 	}
 }
 
-// parts divides n among the members by their weights: each gets the whole part of its
-// share, and those with the largest rest one more.
+// quotas divides n among the members by their weights. Each member gets the integer part of its
+// share, and the members with the largest fractions get one more.
 func quotas(n int, members []Member) []int {
 	total := 0.0
 	for i := range members {
@@ -126,8 +130,8 @@
 	return list
 }
 
-// rate is a pseudo-random number of a pair, higher for a member that can carry more. The
-// incarnation is left out, so that a restarted daemon gets its workers back.
+// score is a pseudo-random number for a worker and a member; a member with a higher weight gets higher
+// scores. The hash leaves out the incarnation, so a restarted daemon gets its workers back.
 func score(worker string, m *Member) float64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -137,8 +141,8 @@
 	return weightedScore(d.Sum64(), cmp.Or(m.Weight, 1))
 }
 
-// weighted is the rate that weighted rendezvous hashing makes of a hash and a weight: each of
-// several rates is the highest as often as its weight is of their sum.
+// weightedScore returns the score of weighted rendezvous hashing for a hash and a weight: the
+// probability that a member's score is the highest is its part of the sum of the weights.
 func weightedScore(hash uint64, weight float64) float64 {
 	const bits = 53
 	uniform := (float64(hash>>(64-bits)) + 0.5) / (1 << bits)
--- a/fleet/cells.go
+++ b/fleet/cells.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// maxUndivided is the number of daemons up to which a fleet is one cell: where most of the
-	// room is in use, tasks find the rest of it in one cell rather than in two.
+	// maxSingleCell is the number of daemons up to which a fleet is a single cell. When most of the
+	// capacity is in use, tasks find the free capacity in one cell more easily than in two.
 	maxSingleCell = 48
-	// maxCell is the number of daemons in a cell, on average, above which the cells of a
-	// larger fleet are divided. Each daemon exchanges heartbeats with all others of its cell,
-	// and links them anew when it starts: with cells of 37 that took a third of what small
-	// daemons spent, and most of the time until they served after a loss of power.
+	// maxCell is the average number of daemons in a cell above which the cells of a larger fleet are
+	// split. Each daemon exchanges heartbeats with all others of its cell, and sets up links to all of
+	// them when it starts. With cells of 37 daemons, this took a third of the processor time of small
+	// daemons, and most of the time until they served after a loss of power.
 	maxCell = 28
-	// minCell is the number below which cells are joined again; it is less than half of
-	// maxCell, so that a fleet at a limit doesn't change by turns.
+	// minCell is the average number below which cells are merged. It is less than half of maxCell, so
+	// a fleet at a limit does not split and merge repeatedly.
 	minCell = 12
-	// maxCellBits bounds the number of cells.
+	// maxCellBits limits the number of cells to 1<<maxCellBits.
 	maxCellBits = 10
 )
 
-// Cells divides a large fleet: the daemons of a cell are linked with each other, hold the
-// cell's workers together and pass tasks among themselves. Without cells heartbeats would
-// grow with the square of the daemons. The zero value is one cell.
+// Cells divides a large fleet. The daemons of a cell are linked with each other, hold the cell's
+// workers together and pass tasks to each other. Without cells the number of heartbeats would grow
+// with the square of the number of daemons. The zero value is a single cell.
 type Cells struct {
-	// bits is the number of leading bits of a daemon's hash that name its cell.
+	// bits is the number of leading bits of a daemon's hash that select its cell.
 	bits int
 }
 
-// ResizedFor returns the cells for a number of daemons, near the present ones.
+// ResizedFor returns the division for a number of daemons, starting from the present one.
 func (c Cells) ResizedFor(daemons int) Cells {
 	for c.bits < maxCellBits && daemons > maxSingleCell && daemons > maxCell<<c.bits {
 		c.bits++
@@ -57,20 +57,20 @@
 	return int(xxhash.Sum64String(daemon.String()) >> (64 - c.bits))
 }
 
-// DaemonInfo is where a daemon is and what it can carry.
+// DaemonInfo describes a daemon: its address, failure domain and weight.
 type DaemonInfo struct {
 	Address netip.AddrPort
 	Domain  string
-	// Weight is compared with that of others; 0 counts as 1.
+	// Weight is the daemon's capacity, relative to others; 0 counts as 1.
 	Weight float64
 }
 
-// Workers returns those of a cell. Each cell gets a share of each failure domain's workers
-// by what its daemons of that domain can carry, so that all daemons of a domain hold
-// workers by their weight, however the hash has thrown them together. A domain without
-// daemons is shared by what the cells can carry in all. A worker that comes or leaves moves
-// hardly any other: what runs on a worker that changes its cell is lost to its callers, as
-// coordinators are not linked with daemons of other cells.
+// Workers returns the workers of a cell. Each cell gets a share of each failure domain's workers by
+// the weight of its daemons of that domain. So all daemons of a domain hold workers by their weight,
+// however the hash distributes the daemons. The workers of a domain without daemons are divided by the
+// total weight of each cell. A worker that joins or leaves moves hardly any other worker: the callers
+// lose the runs on a worker that changes its cell, because coordinators are not linked with daemons of
+// other cells.
 func (c Cells) Workers(cell int, workers []executor.WorkerInfo, daemons []DaemonInfo) []executor.WorkerInfo {
 	if c.bits == 0 {
 		return workers
@@ -101,32 +101,32 @@
 	return own
 }
 
-// cellSlack is by what part of its share a cell's number of workers may be above it. Without
-// it each worker that comes or leaves would move two or three others from cell to cell.
+// cellSlack is the part of its share by which a cell's number of workers may exceed the share. Without
+// it, each worker that joins or leaves would move two or three others between cells.
 const cellSlack = 0.05
 
-// partOf returns the workers of a failure domain that a cell has: each worker is of the cell
-// that rates it highest and is not full (weighted rendezvous hashing with bounded loads).
+// workersOfCell returns the workers of a failure domain that belong to a cell. Each worker belongs to
+// the cell with the highest score that is not full (weighted rendezvous hashing with bounded loads).
 func workersOfCell(cell int, pool []executor.WorkerInfo, weights []float64) (own []executor.WorkerInfo) {
 	sum := 0.0
-	for _, s := range weights {
-		sum += s
+	for _, weight := range weights {
+		sum += weight
 	}
 	if sum == 0 {
 		return nil
 	}
 	left := make([]int, len(weights))
-	for i, s := range weights {
-		left[i] = int(math.Ceil(float64(len(pool)) * s / sum * (1 + cellSlack)))
+	for i, weight := range weights {
+		left[i] = int(math.Ceil(float64(len(pool)) * weight / sum * (1 + cellSlack)))
 	}
 	for _, w := range sortByHash(pool) {
 		best, bestScore := -1, 0.0
-		for i, s := range weights {
+		for i, weight := range weights {
 			if left[i] <= 0 {
 				continue
 			}
-			if r := cellScore(w.hash, i, s); best < 0 || r > bestScore {
-				best, bestScore = i, r
+			if value := cellScore(w.hash, i, weight); best < 0 || value > bestScore {
+				best, bestScore = i, value
 			}
 		}
 		if left[best]--; best == cell {
@@ -136,7 +136,8 @@
 	return own
 }
 
-// cellRate is a pseudo-random number of a worker, by its hash, and a cell, higher for a larger one.
+// cellScore is a pseudo-random number for a worker, by its hash, and a cell; a larger cell gets higher
+// scores.
 func cellScore(worker uint64, cell int, size float64) float64 {
 	const odd1, odd2 = 0x9E3779B97F4A7C15, 0xD6E8FEB86659FD93
 	x := worker ^ uint64(cell+1)*odd1
@@ -145,13 +146,13 @@
 	return weightedScore(x^x>>32, size)
 }
 
-// keyedWorker is a worker with the hash of its ID.
+// hashedWorker is a worker with the hash of its ID.
 type hashedWorker struct {
 	hash uint64
 	info executor.WorkerInfo
 }
 
-// byHash returns workers in an order that has nothing to do with their names.
+// sortByHash returns the workers ordered by the hashes of their IDs, independent of their names.
 func sortByHash(pool []executor.WorkerInfo) []hashedWorker {
 	list := make([]hashedWorker, len(pool))
 	for i, w := range pool {
--- a/fleet/cells_test.go
+++ b/fleet/cells_test.go
@@ -20,7 +20,7 @@
 	return list
 }
 
-// spread returns workers of a number of failure domains, by turns.
+// workersOfDomains returns workers that are spread evenly over a number of failure domains.
 func workersOfDomains(n, domains int) (list []executor.WorkerInfo) {
 	for i := range n {
 		list = append(list, executor.WorkerInfo{ID: fmt.Sprint("w", i), Domain: fmt.Sprint(i % domains)})
@@ -28,7 +28,7 @@
 	return list
 }
 
-// A fleet of the size of a few dozen is one cell: all daemons are linked.
+// A fleet of a few dozen daemons must be a single cell, in which all daemons are linked.
 func TestSmallFleetIsOneCell(t *testing.T) {
 	c := Cells{}.ResizedFor(maxSingleCell)
 	assert.Equal(t, c.Count(), 1)
@@ -36,8 +36,8 @@
 	assert.Equal(t, len(c.Workers(0, workers, daemonInfos(3))), 2)
 }
 
-// Cells stay near their size at any number of daemons, and a daemon more or less at a
-// limit doesn't change them back and forth.
+// The average cell size must stay within its limits at any number of daemons. One daemon more or less
+// at a limit must not change the cells back and forth.
 func TestCellSizeStaysInBounds(t *testing.T) {
 	c := Cells{}
 	for n := range 1000 {
@@ -49,7 +49,7 @@
 	assert.Equal(t, c.ResizedFor(5).Count(), 1)
 }
 
-// Each worker belongs to one cell, and cells get workers of each domain by their sizes.
+// Each worker must belong to exactly one cell, and cells must get workers of each domain by their sizes.
 func TestCellsDivideWorkers(t *testing.T) {
 	daemons := daemonInfos(300)
 	c := Cells{}.ResizedFor(len(daemons))
@@ -73,7 +73,7 @@
 	}
 }
 
-// A daemon more moves few workers between cells.
+// One more daemon must move few workers between cells.
 func TestCellsMoveFewWorkers(t *testing.T) {
 	c := Cells{}.ResizedFor(200)
 	workers := workersOfDomains(400, 4)
@@ -96,10 +96,10 @@
 	assert.Assert(t, moved <= 20, "%d of 400 moved", moved)
 }
 
-// One domain has few daemons, of which the hash has put most into two cells, and large
-// daemons beside small ones. Each daemon holds workers of its domain by what it can carry:
-// with shares by the cells' sizes alone a daemon that is the only one of its domain in its
-// cell held five times the workers of others.
+// One failure domain has few daemons, and the hash has put most of them into two cells. Each domain has
+// strong daemons beside weak ones. Each daemon must hold workers of its domain by its weight. With
+// shares by the cells' sizes alone, a daemon that is the only one of its domain in its cell held five
+// times as many workers as others.
 func TestDaemonsHoldWorkersByWeight(t *testing.T) {
 	var daemons []DaemonInfo
 	var workers []executor.WorkerInfo
@@ -138,8 +138,8 @@
 	for _, d := range daemons {
 		wanted := 220 * d.Weight / total[d.Domain]
 		sum[d.Domain] += held[d.Address]
-		// The strong ones hold more than their part where they can carry it, for others of
-		// their cell; nobody holds more than that.
+		// A strong daemon may hold more than its share, for others of its cell, as far as
+		// workersPerCore allows. No daemon holds more than that.
 		assert.Assert(t, float64(held[d.Address]) <= max(wanted+2, workersPerCore*d.Weight+1),
 			"%v of weight %v holds %d workers, its part is %.1f", d.Address, d.Weight, held[d.Address], wanted)
 		if d.Weight == 0.8 {
@@ -152,8 +152,8 @@
 	}
 }
 
-// Workers of a large fleet are released and replaced all the time. What runs on a worker that is
-// moved to another cell by that is claimed by nobody there, and lost to its caller.
+// Workers of a large fleet are removed and replaced all the time. A worker that leaves must not move
+// others to another cell: no coordinator there claims their runs, so the callers lose them.
 func TestLeavingWorkersMoveFewOthers(t *testing.T) {
 	daemons := daemonInfos(236)
 	c := Cells{}.ResizedFor(len(daemons))
--- a/fleet/example_test.go
+++ b/fleet/example_test.go
@@ -9,7 +9,7 @@
 	"github.com/lavendercleat/lavendercleat/member"
 )
 
-// Two daemons of a failure domain divide its workers without a message.
+// Two daemons of a failure domain divide its workers without exchanging a message.
 func ExampleAssign() {
 	a := fleet.Member{Process: member.Process{Address: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: 1}, Domain: "x"}
 	b := fleet.Member{Process: member.Process{Address: netip.MustParseAddrPort("10.0.0.2:80"), Incarnation: 2}, Domain: "x"}
--- a/fleet/membership.go
+++ b/fleet/membership.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// CellHandoverDelay is how long a worker that has come into a cell from another is left to the
-// daemons of that one. They give it nothing new from when they see the change, and what runs
-// there ends; taken sooner it would be stopped, as no coordinator of this cell can claim it.
-// It covers the longest of usual tasks and the time by which the cells learn of the change
-// apart. Within a cell a worker changes its holder at once, as its runs are claimed.
+// CellHandoverDelay is how long the daemons of a worker's former cell keep a worker that has moved to
+// another cell. They start no new tasks on it once they see the change, and its runs end. If the new
+// cell took the worker sooner, the runs would be stopped, because no coordinator of the new cell can
+// claim them. The delay covers the longest usual tasks and the difference between the times at which
+// the cells learn of the change. Within a cell a worker changes its holder at once, because its runs
+// are claimed.
 const CellHandoverDelay = 4 * time.Second
 
-// CellMembership tells whether a worker is of a cell, over time. The zero value is a worker that was not
-// seen yet.
+// CellMembership tracks whether a worker belongs to a cell. The zero value is a worker that was not
+// seen before.
 type CellMembership struct {
 	known, inCell bool
-	// since is when it came from another cell; 0: it has not.
+	// enteredAt is when the worker came from another cell, or 0 if it did not.
 	enteredAt time.Duration
 }
 
-// Update notes whether the worker is of the cell now. It reports when the cell's daemons may take
-// it; ok is false while it is of another cell.
-func (s *CellMembership) Update(now time.Duration, inCell bool) (availableAt time.Duration, ok bool) {
+// Update records whether the worker belongs to the cell now. It returns the time from which the cell's
+// daemons may take the worker; ok is false while the worker belongs to another cell.
+func (m *CellMembership) Update(now time.Duration, inCell bool) (availableAt time.Duration, ok bool) {
 	switch {
 	case !inCell:
-		s.enteredAt = 0
-	case s.known && !s.inCell:
-		s.enteredAt = now
+		m.enteredAt = 0
+	case m.known && !m.inCell:
+		m.enteredAt = now
 	}
-	s.known, s.inCell = true, inCell
-	if s.enteredAt > 0 {
-		return s.enteredAt + CellHandoverDelay, inCell
+	m.known, m.inCell = true, inCell
+	if m.enteredAt > 0 {
+		return m.enteredAt + CellHandoverDelay, inCell
 	}
 	return now, inCell
 }
