--- a/registry/feed.go
+++ b/registry/feed.go
@@ -1,5 +1,6 @@
-// Package registry follows what others write to the platform's store: the operator's
-// configuration, the workers' entries and the daemons' own.
+// Package registry follows the entries in the platform's store: the operator's configuration and retired
+// failure domains, the workers' entries and the daemons' entries. It selects the relays that read the
+// store for other daemons, and decides how a daemon without the store gets current entries.
 package registry
 
 import (
@@ -11,33 +12,33 @@
 
 // Errors of a store.
 var (
-	// ErrUnavailable: no answer, or a refusal; a write may have taken effect.
+	// ErrUnavailable: the store did not answer, or refused the request. A write may have taken effect.
 	ErrUnavailable = errors.New("store unavailable")
 	// ErrCompacted: the store has dropped the history after the given revision.
-	ErrCompacted = errors.New("history forgotten")
-	// ErrNotFound: there is no such key or lease.
+	ErrCompacted = errors.New("store has dropped the history after this revision")
+	// ErrNotFound: the key or lease does not exist.
 	ErrNotFound = errors.New("not found in the store")
 )
 
-// Kind says who writes an entry.
+// Kind is the kind of an entry. It determines who writes the entry.
 type Kind uint8
 
 // Kinds of entries.
 const (
-	// Other entries are of no use here.
+	// Other entries are ignored.
 	Other Kind = iota
-	// Configuration is the operator's; there is one.
+	// Configuration is the operator's configuration. There is one such entry.
 	Configuration
-	// Worker entries are the workers' own.
+	// Worker entries are written by the workers.
 	Worker
-	// Daemon entries are those of daemons like this one.
+	// Daemon entries are written by daemons.
 	Daemon
-	// RetiredDomain entries are the operator's: the failure domain that each names gets
-	// nothing new while it is there.
+	// RetiredDomain entries are written by the operator. While such an entry exists, the failure domain
+	// that it names gets no new runs.
 	RetiredDomain
 )
 
-// Item is an entry, or the news of its end.
+// Item is a state of an entry, or its deletion.
 type Item struct {
 	Kind     Kind
 	ID       string
@@ -46,67 +47,66 @@
 	Deleted  bool
 }
 
-// Feed is a part of the store's entries. Entries that change all the time and are watched
-// together cost one call where more feeds would cost more.
+// Feed is a subset of the store's entries. Frequently changing entries that are watched together cost one
+// call; more feeds would cost more calls.
 type Feed interface {
-	// Read returns all entries and a revision to watch from.
+	// Read returns all entries and a revision from which to watch.
 	Read(ctx context.Context) ([]Item, int64, error)
-	// Watch returns what changed after a revision, as soon as something has or when wait
-	// is over. ErrCompacted asks for a new Read.
+	// Watch returns the changes after a revision, as soon as there are any or when wait has passed. After
+	// ErrCompacted the caller must call Read again.
 	Watch(ctx context.Context, after int64, wait time.Duration) (Changes, error)
 }
 
-// Changes is an answer to a watch.
+// Changes is the result of a watch.
 type Changes struct {
 	Items []Item
-	// Revision to go on from.
+	// Revision is the revision from which to continue.
 	Revision int64
-	// More: the store has cut the answer off, and what changed later than Revision is there
-	// to be read at once.
+	// More reports that the store has truncated the answer. Changes later than Revision can be read at
+	// once.
 	More bool
 }
 
-// Registrar keeps a daemon's own entry, which vanishes when it isn't renewed.
+// Registrar maintains a daemon's own entry, which expires unless it is renewed.
 type Registrar interface {
 	// Register writes the entry and returns its lease.
 	Register(ctx context.Context, name string, content []byte, ttl time.Duration) (lease int64, err error)
-	// Renew extends the lease. ErrNotFound: it has ended.
+	// Renew extends the lease. It returns ErrNotFound if the lease has ended.
 	Renew(ctx context.Context, lease int64) error
-	// Unregister ends the lease and the entry with it.
+	// Unregister ends the lease, which deletes the entry.
 	Unregister(ctx context.Context, lease int64) error
 }
 
-// FollowConfig holds the times of Follow.
+// FollowConfig holds the intervals of Follow.
 type FollowConfig struct {
-	// Wait is how long a watch may wait.
+	// Wait is how long the store may hold a watch that has no changes to return.
 	Wait time.Duration
-	// MinInterval is the least time between two watches: where entries change all the time, a
-	// watch would return at once, again and again, and each is paid for. An answer that was
-	// cut off is followed by the next without a pause. With one, a daemon that watches 3,000
-	// workers, which renew their entries 2,000 times a second, got 500 changes each 0.6 s,
-	// fell behind the store by more with every answer, and learned of a worker that leaves
-	// seconds after it had to stop using it.
+	// MinInterval is the least time between two watches. Where entries change all the time, each watch
+	// would return at once, and each watch has a cost. After a truncated answer Follow watches again
+	// without a pause. With a pause, a daemon that watched 3,000 workers, which renew their entries 2,000
+	// times a second, got 500 changes each 0.6 s. It fell further behind the store with every answer, and
+	// learned that a worker was leaving seconds after it had to stop using the worker.
 	MinInterval time.Duration
 	// RetryDelay is the pause after a failure.
 	RetryDelay time.Duration
 }
 
-// Follower takes what Follow learns.
+// Follower receives the results of Follow.
 type Follower interface {
-	// WaitUntilDue returns when the feed is to be read or watched, and the revision up to which all is
-	// known then: that of the last call, 0 at first, or a later one that was learned otherwise.
-	// 0 asks for a Read.
+	// WaitUntilDue returns when the feed must be read or watched. It returns the revision up to which all
+	// changes are known: the revision of the last call, at first 0, or a later one that was learned from
+	// another source. 0 requests a Read.
 	WaitUntilDue(ctx context.Context, revision int64) int64
-	// HandleSnapshot takes all entries, and the revision up to which all is known by them.
+	// HandleSnapshot handles all entries, and the revision up to which they include all changes.
 	HandleSnapshot(items []Item, revision int64)
-	// HandleChanges takes changes since the last call. Only what is known by an answer that was not
-	// cut off is as new as the answer.
+	// HandleChanges handles the changes since the last call. Only an answer that was not truncated
+	// includes all changes up to the time of the answer.
 	HandleChanges(c Changes)
-	// HandleError tells that the store gave no answer; Follow tries on.
+	// HandleError handles a failed call to the store. Follow tries again.
 	HandleError(err error)
 }
 
-// Follow reads a feed and watches it until ctx ends.
+// Follow reads a feed and then watches it until ctx is done.
 func Follow(ctx context.Context, f Feed, c FollowConfig, follower Follower) {
 	var revision int64
 	for ctx.Err() == nil {
@@ -128,8 +128,8 @@
 	}
 }
 
-// step reads or watches once and returns the revision to go on from, 0 asks for a read, and
-// whether there is more to be read at once.
+// readOrWatch reads or watches once. It returns the revision from which to continue, where 0 requests a
+// read, and whether more changes can be read at once.
 func readOrWatch(ctx context.Context, f Feed, c FollowConfig, follower Follower, revision int64) (next int64, more bool, err error) {
 	if revision == 0 {
 		items, at, err := f.Read(ctx)
--- a/registry/fetch.go
+++ b/registry/fetch.go
@@ -10,72 +10,72 @@
 )
 
 const (
-	// storePatience is how long a daemon that is behind its peers waits for the store, which
-	// gives a configuration of 256 KiB to 33 daemons within 130 ms.
+	// storeWaitLimit is how long a daemon that is behind its peers waits for the store. The store
+	// sends a configuration of 256 KiB to 33 daemons within 130 ms.
 	storeWaitLimit = 300 * time.Millisecond
-	// askAgain is the pause before another peer is asked: a configuration of 1 MiB takes
+	// askInterval is the time before the daemon asks another peer. A configuration of 1 MiB takes
 	// 340 ms on the slowest links, of 25 Mbit/s.
 	askInterval = 500 * time.Millisecond
-	// copiedAtOnce is how many bytes of copies one daemon hands out at least in each
-	// copyInterval. They keep a link of 25 Mbit/s busy for 170 ms, so that heartbeats behind
-	// them are not taken for silence; those that have a copy serve others, so all have one soon.
+	// minCopyBudget is the least number of bytes of copies that a daemon may send in each
+	// copyInterval. They occupy a link of 25 Mbit/s for 170 ms, so peers do not take the heartbeats
+	// queued behind them for a time-out. Daemons that have a copy send it on, so all get one soon.
 	minCopyBudget = 512 << 10
 	copyInterval  = 250 * time.Millisecond
-	// copyShare is the part of a link's time that copies may take.
+	// copyLinkShare is the part of a link's capacity that copies may use.
 	copyLinkShare = 0.66
 )
 
 // ConfigSource is a peer that may be asked for a newer configuration.
 type ConfigSource struct {
 	member.Process
-	// Version that the peer has told.
+	// Version is the configuration's version that the peer has reported.
 	Version uint64
-	// SameDomain: it is of the own failure domain.
+	// SameDomain reports whether the peer is in this daemon's failure domain.
 	SameDomain bool
 }
 
-// ConfigFetcher decides from whom a daemon takes a configuration that its peers have and it
-// doesn't, because the store turns it away or is slow. One peer is asked at a time.
-// Peers that sent theirs unasked would do it all at once, for a difference of
-// milliseconds between the store's answers: 33 daemons sent 1,056 copies, heartbeats
-// waited behind them, and whole fleets lost sight of each other.
-// The zero value is ready for use; it is not safe for concurrent use.
+// ConfigFetcher decides from which peer a daemon fetches a configuration that its peers have and the
+// daemon does not, because the store rejects its requests or is slow. It asks one peer at a time.
+// If peers sent their configuration without a request, all of them would send it at once whenever the
+// store's answers differ by milliseconds: 33 daemons sent 1,056 copies, heartbeats were delayed behind
+// them, and all daemons of a fleet became unreachable for each other.
+// The zero value is ready for use. It is not safe for concurrent use.
 type ConfigFetcher struct {
-	// behindSince is when a peer was first seen to be ahead of the version had; 0: none is.
+	// behindSince is when a peer was first seen to have a newer version than behindVersion, or 0.
 	behindSince   time.Duration
 	behindVersion uint64
 	asked         member.Process
 	askedAt       time.Duration
 }
 
-// NextSource returns the peer to ask now, if any, by the version that the daemon has and those
-// of its peers. storeLost: the store is known not to answer this daemon.
-func (c *ConfigFetcher) NextSource(now time.Duration, self member.Process, version uint64, storeUnreachable bool, peers []ConfigSource) (member.Process, bool) {
+// NextSource returns the peer to ask now, if any, from the versions of this daemon and of its peers.
+// storeUnreachable reports that the store is known not to answer this daemon.
+func (f *ConfigFetcher) NextSource(now time.Duration, self member.Process, version uint64, storeUnreachable bool, peers []ConfigSource) (member.Process, bool) {
 	newest := version
 	for _, p := range peers {
 		newest = max(newest, p.Version)
 	}
 	if newest == version {
-		c.behindSince = 0
+		f.behindSince = 0
 		return member.Process{}, false
 	}
-	if c.behindSince == 0 || c.behindVersion != version {
-		c.behindSince, c.behindVersion = now, version
+	if f.behindSince == 0 || f.behindVersion != version {
+		f.behindSince, f.behindVersion = now, version
 	}
-	if !storeUnreachable && now-c.behindSince < storeWaitLimit || c.askedAt > 0 && now-c.askedAt < askInterval && c.asked != (member.Process{}) {
+	if !storeUnreachable && now-f.behindSince < storeWaitLimit || f.askedAt > 0 && now-f.askedAt < askInterval && f.asked != (member.Process{}) {
 		return member.Process{}, false
 	}
-	c.asked, c.askedAt = chooseSource(self, newest, c.asked, peers), now
-	return c.asked, true
+	f.asked, f.askedAt = chooseSource(self, newest, f.asked, peers), now
+	return f.asked, true
 }
 
-// HandleCopy tells that a copy came: if it is not the newest by now, another is asked for
-// without the pause.
-func (c *ConfigFetcher) HandleCopy() { c.asked = member.Process{} }
+// HandleCopy records that a copy has arrived. If the copy is not the newest version by now, the daemon
+// asks another peer without waiting for askInterval.
+func (f *ConfigFetcher) HandleCopy() { f.asked = member.Process{} }
 
-// choose returns one of the peers with the newest version, of the own failure domain if
-// there is one, but for the one asked last: it may have too many to serve. Daemons choose
-// differently.
+// chooseSource returns one of the peers with the newest version, preferably of this daemon's failure
+// domain. It avoids the peer that was asked last, which may have too many requests. Different daemons
+// choose different peers.
 func chooseSource(self member.Process, newest uint64, last member.Process, peers []ConfigSource) member.Process {
 	var best ConfigSource
 	var bestHash uint64
@@ -83,20 +83,20 @@
 		if p.Version < newest {
 			continue
 		}
-		r := pairHash(self, p.Process)
+		hash := pairHash(self, p.Process)
 		switch {
 		case best.Process == (member.Process{}), best.Process == last:
 		case p.Process == last, best.SameDomain && !p.SameDomain:
 			continue
-		case p.SameDomain == best.SameDomain && r <= bestHash:
+		case p.SameDomain == best.SameDomain && hash <= bestHash:
 			continue
 		}
-		best, bestHash = p, r
+		best, bestHash = p, hash
 	}
 	return best.Process
 }
 
-// rate is a pseudo-random number of a pair.
+// pairHash returns a pseudo-random number for a pair of processes.
 func pairHash(self, peer member.Process) uint64 {
 	var pair [16]byte
 	binary.LittleEndian.PutUint64(pair[:8], self.Incarnation)
@@ -104,30 +104,30 @@
 	return xxhash.Sum64(pair[:])
 }
 
-// CopyLimiter bounds how many copies a daemon hands out. The zero value is ready for use.
+// CopyLimiter limits the bytes of copies that a daemon sends. The zero value is ready for use.
 type CopyLimiter struct {
-	// Mbps is what the daemon's link carries, in megabits a second; 0: not known.
+	// Mbps is the bandwidth of the daemon's link in megabits per second; 0 if it is not known.
 	Mbps          float64
 	intervalStart time.Duration
-	// sent is what was handed out since then, in bytes.
+	// sentBytes is the number of bytes sent since intervalStart.
 	sentBytes int
 }
 
-// Allow reports whether a copy of a number of bytes may be sent now; one may in each interval,
-// whatever its size. Who gets none asks another peer.
-func (c *CopyLimiter) Allow(now time.Duration, size int) bool {
-	if now-c.intervalStart >= copyInterval {
-		c.intervalStart, c.sentBytes = now, 0
+// Allow reports whether a copy of the given size may be sent now. Each interval allows at least one copy
+// of any size. A daemon that gets none asks another peer.
+func (l *CopyLimiter) Allow(now time.Duration, size int) bool {
+	if now-l.intervalStart >= copyInterval {
+		l.intervalStart, l.sentBytes = now, 0
 	}
-	if c.sentBytes > 0 && c.sentBytes+size > c.budget() {
+	if l.sentBytes > 0 && l.sentBytes+size > l.budget() {
 		return false
 	}
-	c.sentBytes += size
+	l.sentBytes += size
 	return true
 }
 
-// budget is how many bytes may be handed out in an interval.
-func (c *CopyLimiter) budget() int {
+// budget returns the number of bytes that may be sent in an interval.
+func (l *CopyLimiter) budget() int {
 	const bytesPerMegabit = 1e6 / 8
-	return max(minCopyBudget, int(c.Mbps*bytesPerMegabit*copyLinkShare*copyInterval.Seconds()))
+	return max(minCopyBudget, int(l.Mbps*bytesPerMegabit*copyLinkShare*copyInterval.Seconds()))
 }
--- a/registry/relay.go
+++ b/registry/relay.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// readersAtOnce is how many daemons read the entries for all that are linked: if one is
-	// lost, or loses the store, the others go on with what the second tells.
+	// relaysPerCell is the number of daemons that read the entries for all daemons linked with them. If
+	// one relay fails or cannot reach the store, the other daemons rely on the second one.
 	relaysPerCell = 2
-	// relayFrom is the number of linked daemons from which on the others stop to read. In
-	// smaller fleets the two would be a good part of all.
+	// minDaemonsForRelays is the number of linked daemons from which on the others stop to read the
+	// store. In smaller fleets the two relays would be a large part of all daemons.
 	minDaemonsForRelays = 12
-	// askPatience is how long a daemon waits for what it has asked of a reader before it reads
-	// by itself, and seekPatience for a reader to be in sight at all.
+	// relayReplyTimeout is how long a daemon waits for a relay's reply before it reads the store itself.
+	// relaySearchTimeout is how long it waits for a relay to become reachable.
 	relayReplyTimeout  = 700 * time.Millisecond
 	relaySearchTimeout = 300 * time.Millisecond
-	// startPatience is how long a daemon that has just started waits for the readers of its
-	// cell. They read all entries within half a second, where not all daemons do: 2,500
-	// entries for each of 236 daemons keep the store's link of 1 Gbit/s busy for two seconds,
-	// in which nobody knows a worker.
+	// startWaitLimit is how long a daemon that has just started waits for the relays of its cell. The
+	// relays read all entries within half a second, because not all daemons read. 2,500 entries for each
+	// of 236 daemons occupy the store's link of 1 Gbit/s for two seconds, in which no daemon knows a
+	// worker.
 	startWaitLimit = time.Second
-	// renewal is how often workers renew their entries. What happened in a longer time takes
-	// longer to read than all entries do.
+	// entryRenewalInterval is how often workers renew their entries. Reading the changes of a longer time
+	// takes longer than reading all entries.
 	entryRenewalInterval = 1500 * time.Millisecond
-	// chainPatience is how old a reader's last word from the store may be before a daemon
-	// reads by itself. A watch and the heartbeat that tells of it take 0.9 s when nothing
-	// changes; with a read of its own, the daemon learns of a draining worker within 2 s.
+	// maxRelayAge is the largest age of a relay's last answer from the store with which a daemon relies
+	// on the relay. A watch and the heartbeat that reports it take 0.9 s when nothing changes. With a
+	// read of its own after maxRelayAge, the daemon learns of a draining worker within 2 s.
 	maxRelayAge = 1300 * time.Millisecond
 )
 
@@ -39,16 +39,16 @@
 type Relay struct {
 	member.Process
 	Domain string
-	// Weight is what it can carry, compared with others.
+	// Weight is the daemon's capacity, relative to others.
 	Weight float64
 }
 
-// SelectRelays returns the daemons that are to read for all, a function of the inputs alone:
-// those that can carry most, of different failure domains if there are, as a domain may be
-// cut off as a whole. Each worker renews its entry every other second, so reading by all
-// costs the most where daemons and workers are many: with 1,100 workers an answer of 200 KB
-// every 0.6 s for each daemon, behind which, on a link of 25 Mbit/s, starts and ends of
-// tasks wait for 60 ms.
+// SelectRelays returns the daemons that read the store for all. The result depends on the inputs alone.
+// It selects the daemons with the highest weights, of different failure domains if possible, because a
+// domain may be cut off as a whole. Each worker renews its entry every other second, so reads by all
+// daemons cost most where there are many daemons and workers: with 1,100 workers, each daemon gets an
+// answer of 200 KB every 0.6 s. On a link of 25 Mbit/s, starts and completions of tasks wait behind it
+// for 60 ms.
 func SelectRelays(daemons []Relay) []member.Process {
 	sorted := slices.Clone(daemons)
 	slices.SortFunc(sorted, func(a, b Relay) int {
@@ -57,119 +57,123 @@
 	var selected []Relay
 	for _, distinct := range []bool{true, false} {
 		for _, d := range sorted {
-			same := func(c Relay) bool { return c.Process == d.Process || distinct && c.Domain == d.Domain }
+			same := func(s Relay) bool { return s.Process == d.Process || distinct && s.Domain == d.Domain }
 			if len(selected) < relaysPerCell && !slices.ContainsFunc(selected, same) {
 				selected = append(selected, d)
 			}
 		}
 	}
 	list := make([]member.Process, len(selected))
-	for i, c := range selected {
-		list[i] = c.Process
+	for i, s := range selected {
+		list[i] = s.Process
 	}
 	return list
 }
 
-// place spreads the reading over equal daemons; it outlives a restart.
+// addressHash distributes the relay role over daemons of equal weight. It does not change when a daemon
+// restarts.
 func addressHash(r Relay) uint64 { return xxhash.Sum64String(r.Address.String()) }
 
-// UsesRelays reports whether some daemons read for all: in a fleet of so many linked ones, and in
-// each cell of a divided one, however few daemons the hash has thrown into it. Cells of a fleet
-// of 236 have 8 to 21 daemons; were all of the small ones to read, there would be twice as many
-// readers.
+// UsesRelays reports whether some daemons read the store for all. They do with at least
+// minDaemonsForRelays linked daemons, and in each cell of a divided fleet, however few daemons the hash
+// assigns to the cell. Cells of a fleet of 236 have 8 to 21 daemons. If all daemons of the small cells
+// read the store, there would be twice as many readers.
 func UsesRelays(linked int, divided bool) bool { return divided || linked >= minDaemonsForRelays }
 
-// RelayState is what a reader tells of its reading, beside the changes that it sends.
+// RelayState is what a relay reports in its heartbeats. It sends the changes separately.
 type RelayState struct {
-	// Revision up to which it has sent all changes; 0: it doesn't read for others.
+	// Revision is the revision up to which the relay has sent all changes. It is 0 if the daemon is not a
+	// relay.
 	Revision int64
-	// Term for which it reads, which begins anew when it has ceased to.
+	// Term identifies one uninterrupted time as a relay. It changes when the daemon stops being a relay
+	// and becomes one again.
 	Term uint32
-	// Age of the store's last answer to it.
+	// Age is the age of the store's last answer to the relay.
 	Age time.Duration
 }
 
-// RelayStream is what a daemon learns through one reader, whose messages come once and in order
-// while it is linked. It may be relied on from when the reader has said that it sends what
-// changes, and the daemon has once known as much as the reader had told. Heartbeats alone
-// don't show that: the two ends of a link come up one after the other, and what changes in
-// between is sent to nobody, while heartbeats tell it as sent. A daemon that missed a
-// leaving worker so would give it tasks until it is gone. The zero value begins a chain.
+// RelayStream tracks whether a daemon gets all changes through one relay. While the two are linked, each
+// message of the relay arrives once and in order. The daemon may rely on the relay after two events: the
+// relay has reported that it sends changes, and the daemon has once known all changes up to the revision
+// that the relay reported. Heartbeats alone do not suffice. The two ends of a link come up one after the
+// other, and the relay sends a change in between to no daemon, while its heartbeats report the change as
+// sent. A daemon that missed a leaving worker in this way would assign tasks to the worker until the
+// worker is gone. The zero value is a stream that has not been opened.
 type RelayStream struct {
-	// opened is the term in which the reader has said that it sends what changes; 0: none.
+	// openedTerm is the term in which the relay has reported that it sends changes; 0 if it has not.
 	openedTerm    uint32
 	complete      bool
 	term          uint32
 	storeAnswerAt time.Duration
 }
 
-// HandleOpened notes the reader's word that it sends what changes from here on, in a term.
-func (c *RelayStream) HandleOpened(term uint32) { c.openedTerm = term }
+// HandleOpened handles the relay's report that it sends all changes from here on, in a term.
+func (s *RelayStream) HandleOpened(term uint32) { s.openedTerm = term }
 
-// HandleState takes what the reader tells and returns the revision up to which the daemon, which
-// knew all up to the given one, knows all now.
-func (c *RelayStream) HandleState(now time.Duration, known int64, state RelayState) int64 {
-	if state.Revision == 0 || state.Term != c.term {
-		*c = RelayStream{openedTerm: c.openedTerm, term: state.Term}
+// HandleState handles a relay's state. The daemon knew all changes up to the revision known. HandleState
+// returns the revision up to which the daemon knows all changes now.
+func (s *RelayStream) HandleState(now time.Duration, known int64, state RelayState) int64 {
+	if state.Revision == 0 || state.Term != s.term {
+		*s = RelayStream{openedTerm: s.openedTerm, term: state.Term}
 	}
-	if state.Revision == 0 || c.openedTerm != state.Term || !c.complete && known < state.Revision {
+	if state.Revision == 0 || s.openedTerm != state.Term || !s.complete && known < state.Revision {
 		return known
 	}
-	c.complete, c.storeAnswerAt = true, now-state.Age
+	s.complete, s.storeAnswerAt = true, now-state.Age
 	return max(known, state.Revision)
 }
 
-// HandleCopy notes that the reader has sent all entries: what changes later follows.
-func (c *RelayStream) HandleCopy(term uint32) {
-	*c = RelayStream{openedTerm: term, complete: true, term: term, storeAnswerAt: c.storeAnswerAt}
+// HandleCopy records that the relay has sent all entries. The relay sends later changes after them.
+func (s *RelayStream) HandleCopy(term uint32) {
+	*s = RelayStream{openedTerm: term, complete: true, term: term, storeAnswerAt: s.storeAnswerAt}
 }
 
-// UpToDate reports whether the daemon can rely on the reader now.
-func (c *RelayStream) UpToDate(now time.Duration) bool {
-	return c.complete && c.storeAnswerAt > 0 && now-c.storeAnswerAt <= maxRelayAge
+// UpToDate reports whether the daemon can rely on the relay now.
+func (s *RelayStream) UpToDate(now time.Duration) bool {
+	return s.complete && s.storeAnswerAt > 0 && now-s.storeAnswerAt <= maxRelayAge
 }
 
-// SyncAction is how a daemon learns next of what has changed.
+// SyncAction is how a daemon learns of the next changes.
 type SyncAction uint8
 
-// Steps.
+// Actions of a daemon that needs current entries.
 const (
-	// UseRelay: a reader tells of changes.
+	// UseRelay: a relay sends the changes.
 	UseRelay SyncAction = iota + 1
-	// WaitForRelay: a reader is asked, or may come into sight.
+	// WaitForRelay: a relay was asked, or may become reachable.
 	WaitForRelay
-	// WatchStore: the daemon reads what has happened since it last knew all.
+	// WatchStore: the daemon reads the changes since it was last up to date.
 	WatchStore
-	// ReadAll: it reads all entries.
+	// ReadAll: the daemon reads all entries.
 	ReadAll
 )
 
-// SyncStatus is what a daemon knows of itself and of readers.
+// SyncStatus is the input of SyncPlanner: the state of a daemon and of its relays.
 type SyncStatus struct {
-	// IsRelay: it reads for others.
+	// IsRelay: the daemon reads the store for others.
 	IsRelay bool
-	// UsesRelays: the fleet is one in which some read for all.
+	// UsesRelays: some daemons of the fleet read the store for all.
 	UsesRelays bool
-	// StoreUnreachable: the store doesn't answer this daemon.
+	// StoreUnreachable: the store does not answer this daemon.
 	StoreUnreachable bool
-	// Starting: it knows nothing yet, and has read that others of its cell are to read for all.
+	// Starting: the daemon has no entries yet, and has read that others of its cell will be the relays.
 	Starting bool
-	// RelayUpToDate: there is a reader to rely on.
+	// RelayUpToDate: there is a relay on which the daemon can rely.
 	RelayUpToDate bool
-	// RelayAhead: a reader is in sight that knows more.
+	// RelayAhead: a reachable relay has later changes.
 	RelayAhead bool
-	// UpToDateAt is when the daemon last knew all.
+	// UpToDateAt is when the daemon last knew all changes.
 	UpToDateAt time.Duration
 }
 
-// SyncPlanner decides how a daemon learns of changes. When a failure domain that was cut off is
-// linked again, all of its daemons lack seconds of history at once. Were each to watch the
-// store from where it was, the answer, of renewals of all workers for the most part, would
-// fill its link for as long as a second, while callers wait for what runs; a reader's answer
-// is a few entries. The zero value begins it.
+// SyncPlanner decides how a daemon learns of changes. When a failure domain that was cut off is linked
+// again, all of its daemons lack seconds of history at once. If each of them watched the store from its
+// last revision, the answer, mostly renewals of all workers, would fill the daemon's link for up to a
+// second while callers wait for their runs. A relay's answer is a few entries. The zero value is ready
+// for use.
 type SyncPlanner struct{ waitingSince time.Duration }
 
-// NextAction returns the next step.
+// NextAction returns what the daemon does next.
 func (p *SyncPlanner) NextAction(now time.Duration, status SyncStatus) SyncAction {
 	if status.RelayUpToDate && !status.IsRelay && (status.UsesRelays || status.StoreUnreachable) {
 		p.waitingSince = 0
--- a/registry/roots.go
+++ b/registry/roots.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// rootsPerDomain is how many readers of each failure domain read the store in a divided fleet:
-// one may be lost, or lose the store, and a domain may be cut off from all others.
+// rootsPerDomain is how many relays of each failure domain read the store in a divided fleet. One of them
+// may fail or lose its connection to the store, and a domain may be cut off from all others.
 const rootsPerDomain = 2
 
-// SelectRootRelays returns, of the readers of all cells, those that read the store; the other readers take
-// what these have read. Two readers for each cell take from the store what grows with daemons
-// times workers: 500 daemons with 5,300 workers 0.8 of a link of 1 Gbit/s, and a reader of a cell
-// with small machines only half of its own link of 25 Mbit/s. The strongest of each failure
-// domain are chosen, a function of the inputs alone.
+// SelectRootRelays returns the root relays: of the relays of all cells, those that read the store. The
+// other relays get the entries from the root relays. If the two relays of each cell read the store, the
+// load on the store's link would grow with the product of daemons and workers: 500 daemons with 5,300
+// workers took 0.8 of a link of 1 Gbit/s. For a relay in a cell of small machines, that is half of its
+// own link of 25 Mbit/s. The strongest relays of each failure domain are selected; the result depends on
+// the inputs alone.
 func SelectRootRelays(relays []Relay) (roots []Relay) {
 	sorted := slices.Clone(relays)
 	slices.SortFunc(sorted, func(a, b Relay) int {
@@ -29,9 +30,9 @@
 	return roots
 }
 
-// RankRootRelays returns the roots in the order in which a reader asks them: those of its own
-// failure domain first, and among equals each reader in an order of its own, so that the two
-// readers of a cell rarely rely on the same.
+// RankRootRelays returns the root relays in the order in which a relay asks them. Those of its own failure
+// domain come first. Among equals, each relay has an order of its own, so the two relays of a cell rarely
+// rely on the same root relay.
 func RankRootRelays(self Relay, roots []Relay) []Relay {
 	list := slices.Clone(roots)
 	otherDomain := func(r Relay) int {
