--- a/member/example_test.go
+++ b/member/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/lavendercleat/lavendercleat/member"
 )
 
-// An entry takes in a peer's heartbeat and forgets the peer when it falls silent. The
-// VM list alone makes an address known, not alive.
+// An entry handles a peer's heartbeat, and removes the peer when its time-out has passed. The VM list alone
+// makes an address known, not alive.
 func Example() {
 	self, peer := netip.MustParseAddrPort("10.0.0.1:7403"), netip.MustParseAddrPort("10.0.0.2:7403")
 	v := member.NewView(member.Config{Self: self, Incarnation: 1, Domain: "krk-a", Timeout: 2 * time.Second})
--- a/member/leaving.go
+++ b/member/leaving.go
@@ -3,35 +3,34 @@
 import "time"
 
 const (
-	// sameNotice is the difference below which two notices are the same one, told on
-	// different ways. Without it a notice would seem newer each time it is passed on.
+	// noticeTolerance is the difference in time below which two notices, reported by different peers,
+	// are the same one. Without it a notice would seem newer each time that a peer passes it on.
 	noticeTolerance = 2 * time.Second
-	// noticeTerm is how long a notice outlives newer VM lists that don't confirm it.
+	// noticeLifetime is how long a notice outlives newer VM lists that do not confirm it.
 	noticeLifetime = 10 * time.Minute
 )
 
-// LeavingWorkers holds the workers that said, to this entry or a peer, that they are leaving.
-// The VM list shows it later, or not at all while the platform is cut off.
+// LeavingWorkers holds the workers that have told this entry or a peer that they are leaving. The VM list
+// shows this later, or not at all while the platform is unreachable.
 //
-// A notice ends when a newer list no longer shows the worker; when the list showed it
-// leaving and later not leaving, as after its replacement at the same address; and
-// when a list that arrives long after the notice still does not confirm it. A worker
-// that is still leaving then refuses its next task and is noticed again. It is not
-// safe for concurrent use.
+// A notice ends in one of three cases: a newer list no longer shows the worker; the list has shown the
+// worker as leaving and later shows it as not leaving, for example because it was replaced at the same
+// address; or a list that arrives long after the notice does not confirm it. In the last case, a worker
+// that is still leaving refuses its next task and is recorded again. LeavingWorkers is not safe for
+// concurrent use.
 type LeavingWorkers struct {
 	notices map[string]notice
-	// ended holds when the workers of ended notices had said it, so that peers that
-	// have not yet ended theirs don't bring them back.
+	// ended holds, by worker, when the worker of an ended notice reported that it was leaving. Peers
+	// whose notice has not ended yet cannot restore the notice.
 	ended   map[string]time.Duration
 	version uint64
 }
 
-// notice is one worker's word.
+// notice is a worker's report that it is leaving.
 type notice struct {
-	// said is the time of the worker's own answer.
+	// reportedAt is when the worker itself reported it.
 	reportedAt time.Duration
-	// listed is set once a list showed the worker, confirmed once one showed it
-	// leaving.
+	// listed is set once a list has shown the worker, confirmed once one has shown it as leaving.
 	listed, confirmed bool
 }
 
@@ -40,8 +39,8 @@
 	return &LeavingWorkers{notices: make(map[string]notice), ended: make(map[string]time.Duration)}
 }
 
-// Add takes in that a worker said that it is leaving, some time ago, and tells
-// whether that is news.
+// Add records that a worker reported some time ago that it is leaving. It returns true if the worker was
+// not known to be leaving.
 func (l *LeavingWorkers) Add(now time.Duration, worker string, age time.Duration) bool {
 	reportedAt := now - age
 	if end, ok := l.ended[worker]; ok && reportedAt <= end+noticeTolerance {
@@ -56,20 +55,20 @@
 	return !known
 }
 
-// Has tells whether a worker is noticed as leaving.
+// Has reports whether a worker is known to be leaving.
 func (l *LeavingWorkers) Has(worker string) bool {
 	_, ok := l.notices[worker]
 	return ok
 }
 
-// All calls fn for every leaving worker with the time since it said so.
+// All calls fn for every leaving worker with the time since the worker reported it.
 func (l *LeavingWorkers) All(now time.Duration, fn func(worker string, age time.Duration)) {
 	for w, n := range l.notices {
 		fn(w, now-n.reportedAt)
 	}
 }
 
-// ApplyVMList takes in a VM list: its workers, and whether each is shown as leaving. A
+// ApplyVMList applies a VM list: its workers, and whether the list shows each of them as leaving. A
 // version that is not newer changes nothing.
 func (l *LeavingWorkers) ApplyVMList(now time.Duration, version uint64, workers map[string]bool) {
 	if version <= l.version {
--- a/member/liveness.go
+++ b/member/liveness.go
@@ -2,40 +2,39 @@
 
 import "time"
 
-// Liveness says what is certain about a process that can't be asked.
+// Liveness is what is certain about a process that cannot be queried.
 type Liveness uint8
 
 const (
-	// Unknown: it may live, and may still tell an ending.
+	// Unknown: the process may be alive, and may still report the end of the job.
 	Unknown Liveness = iota
-	// Replaced: another process runs at its address, so it is dead.
+	// Replaced: another process runs at the address, so this process is dead.
 	Replaced
-	// Expired: by its own clock it no longer starts the job of the identifier asked
-	// about, nor tells an answer of it.
+	// Expired: by its own clock the process no longer starts the job of the given identifier, and no
+	// longer reports an answer of it.
 	Expired
 )
 
 const (
-	// maxPast bounds the memory of processes that were heard once.
+	// maxHeartbeatRecords limits the memory for processes that have sent a heartbeat once.
 	maxHeartbeatRecords = 4096
-	// clockDrift is the part by which two monotonic clocks may differ in rate; real
-	// ones differ by less than a thousandth of that.
+	// clockDrift limits the difference in rate of two monotonic clocks to one part in clockDrift. Real
+	// clocks differ by less than one part in a thousand.
 	clockDrift = 100
-	// clockMargin is added for delays between a clock's reading and its use.
+	// clockMargin allows for delays between the reading of a clock and its use.
 	clockMargin = 5 * time.Second
 )
 
-// lastHeard is what was last heard of a process.
+// heartbeatRecord holds the state of a process at its last heartbeat.
 type heartbeatRecord struct {
 	receivedAt         time.Duration
 	clock              time.Duration
 	identifierLifetime time.Duration
-	// replaced is the time at which another process was heard at the address; 0 until
-	// then.
+	// replacedAt is when another process sent a heartbeat from the same address; 0 until then.
 	replacedAt time.Duration
 }
 
-// sight notes a heartbeat's clock, and that the address's former process is replaced.
+// recordHeartbeat records a heartbeat's clock, and marks former processes at the address as replaced.
 func (v *View) recordHeartbeat(now time.Duration, p *Peer) {
 	process := Process{Address: p.Address, Incarnation: p.Incarnation}
 	s, known := v.heartbeats[process]
@@ -49,14 +48,14 @@
 			v.heartbeatOrder = v.heartbeatOrder[1:]
 		}
 	}
-	// It lives, also when a late heartbeat of a former process made it look replaced.
+	// The process is alive, even if a late heartbeat of a former process marked it as replaced.
 	s.receivedAt, s.clock, s.replacedAt = now, p.Clock, 0
-	// A longer deadline that was allowed before is still to be waited for.
+	// An earlier, longer lifetime still applies to identifiers minted under it.
 	s.identifierLifetime = max(s.identifierLifetime, p.IdentifierLifetime)
 	v.heartbeats[process] = s
 }
 
-// replace marks the former processes at the address of a new one.
+// markReplaced marks the former processes at the address of a new one as replaced.
 func (v *View) markReplaced(now time.Duration, by Process) {
 	for p, s := range v.heartbeats {
 		if p.Address == by.Address && p != by && s.replacedAt == 0 {
@@ -66,12 +65,12 @@
 	}
 }
 
-// Liveness tells what is certain about the owner of an identifier minted at a time on the
+// Liveness returns what is certain about the owner of an identifier that was minted at a time on the
 // owner's clock.
 //
-// Replaced is told only the longer timeout after the new process was heard: if the old one
-// stopped gracefully, every live peer that knows its successor has said so by then.
-// Expired assumes only that the two monotonic clocks run at the same rate within one
+// It returns Replaced only when the longer of the two time-outs has passed since the new process was
+// heard. If the old process stopped gracefully, every live peer that knows its successor has reported the
+// successor by then. Expired assumes only that the rates of the two monotonic clocks differ by at most one
 // part in a hundred.
 func (v *View) Liveness(now time.Duration, owner Process, minted time.Duration) Liveness {
 	s, ok := v.heartbeats[owner]
--- a/member/successor.go
+++ b/member/successor.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// maxHops bounds the chain of successors that is followed.
+// maxHops limits the length of the chain of successors that Successor follows.
 const maxHops = 64
 
-// succession is the successor of a stopped process, known until a time.
+// successorRecord is the successor of a stopped process, with the record's expiry.
 type successorRecord struct {
 	Process
 	expiresAt time.Duration
 }
 
-// SetSuccessor records who keeps the answers of a stopped process, to be known for a
-// time. Hearing it again changes nothing: peers tell each other the time that is left,
-// so that what they know runs out everywhere.
+// SetSuccessor records for a limited time which process keeps the answers of a stopped process. A repeated
+// report changes nothing. Peers report the remaining time to each other, so the record expires at all of
+// them.
 func (v *View) SetSuccessor(now time.Duration, stopped, successor Process, keep time.Duration) {
 	if _, ok := v.successors[stopped]; ok || keep <= 0 || stopped == successor {
 		return
@@ -21,7 +21,7 @@
 	v.successors[stopped] = successorRecord{Process: successor, expiresAt: now + keep}
 }
 
-// dropSuccessors forgets those whose time is over.
+// removeExpiredSuccessors removes the successors whose time has passed.
 func (v *View) removeExpiredSuccessors(now time.Duration) {
 	for p, s := range v.successors {
 		if now >= s.expiresAt {
@@ -30,8 +30,8 @@
 	}
 }
 
-// Successor returns the process that keeps the answers of p now, following
-// successors that stopped in turn; p itself when it is not known to have stopped.
+// Successor returns the process that keeps the answers of p now. It follows successors that have stopped
+// in turn. It returns p itself if p is not known to have stopped.
 func (v *View) Successor(p Process) Process {
 	for range maxHops {
 		next, ok := v.successors[p]
@@ -43,8 +43,8 @@
 	return p
 }
 
-// Successors calls fn for each stopped process with its successor and the time for
-// which that still has to be known.
+// Successors calls fn for each stopped process with its successor and the time for which the record is
+// still valid.
 func (v *View) Successors(now time.Duration, fn func(stopped, successor Process, keep time.Duration)) {
 	for p, s := range v.successors {
 		if now < s.expiresAt {
--- a/member/view.go
+++ b/member/view.go
@@ -10,39 +10,39 @@
 type Config struct {
 	// Self is the address of this entry's peer interface.
 	Self netip.AddrPort
-	// Incarnation of this process.
+	// Incarnation identifies this process among those that ran at the address.
 	Incarnation uint64
 	// Domain is this entry's failure domain.
 	Domain string
-	// Timeout is the silence after which a peer counts as dead. It must be several
+	// Timeout is the time without a heartbeat after which a peer counts as dead. It must be several
 	// heartbeat intervals.
 	Timeout time.Duration
 	// RemoteTimeout is the same for a peer of another failure domain.
 	RemoteTimeout time.Duration
 }
 
-// Peer is what is known of another entry.
+// Peer is the state of another entry at its latest heartbeat.
 type Peer struct {
 	Address     netip.AddrPort
 	Incarnation uint64
 	Domain      string
-	// LastHeartbeat is the time of the latest heartbeat.
+	// LastHeartbeat is when the latest heartbeat arrived.
 	LastHeartbeat time.Duration
-	// Stopping is set once the peer handed back its slots.
+	// Stopping is set once the peer has handed back its slots.
 	Stopping bool
-	// Clock is the peer's own time at its latest heartbeat, on which it mints
-	// identifiers, and IdentifierLifetime the time after an identifier's minting after which it
-	// neither starts its job nor tells an answer of it.
+	// Clock is the peer's own time at its latest heartbeat. The peer mints identifiers by this clock.
+	// When IdentifierLifetime has passed since an identifier was minted, the peer neither starts the
+	// identifier's job nor reports an answer of it.
 	Clock              time.Duration
 	IdentifierLifetime time.Duration
-	// FreeSlots is how many slots the peer could lend at its latest heartbeat.
+	// FreeSlots is the number of slots that the peer could lend at its latest heartbeat.
 	FreeSlots int
-	// ConfigRevision and VMListVersion are those in force at the peer.
+	// ConfigRevision and VMListVersion are the versions in force at the peer.
 	ConfigRevision uint64
 	VMListVersion  uint64
 }
 
-// Process names one process by address and incarnation.
+// Process identifies a process by its address and incarnation.
 type Process struct {
 	Address     netip.AddrPort
 	Incarnation uint64
@@ -55,7 +55,7 @@
 	candidates map[netip.AddrPort]string
 	successors map[Process]successorRecord
 	heartbeats map[Process]heartbeatRecord
-	// seen holds the keys of past, oldest first.
+	// heartbeatOrder holds the keys of heartbeats, the oldest first.
 	heartbeatOrder []Process
 }
 
@@ -70,8 +70,8 @@
 	}
 }
 
-// SetCandidates sets the addresses that may be contacted, with their failure domain
-// where it is known. The view's own address is left out.
+// SetCandidates sets the addresses that may be contacted, with their failure domains where known. It
+// leaves out this entry's own address.
 func (v *View) SetCandidates(c map[netip.AddrPort]string) {
 	v.candidates = make(map[netip.AddrPort]string, len(c))
 	for a, domain := range c {
@@ -81,8 +81,8 @@
 	}
 }
 
-// Candidates returns the addresses that may be contacted, sorted: those of the VM
-// list and settings, and those that were heard.
+// Candidates returns the addresses that may be contacted, sorted: those of the VM list and settings, and
+// those from which a heartbeat arrived.
 func (v *View) Candidates() []netip.AddrPort {
 	all := make([]netip.AddrPort, 0, len(v.candidates)+len(v.peers))
 	for a := range v.candidates {
@@ -97,7 +97,7 @@
 	return all
 }
 
-// Domain returns the failure domain of an address, "" while it is not known.
+// Domain returns the failure domain of an address, or "" if it is not known.
 func (v *View) Domain(a netip.AddrPort) string {
 	if p := v.peers[a]; p != nil {
 		return p.Domain
@@ -105,8 +105,8 @@
 	return v.candidates[a]
 }
 
-// Known tells whether an address belongs to an entry. Only known addresses may be
-// connected to: an address inside an identifier is caller input.
+// Known reports whether an address belongs to an entry. Only known addresses may be connected to, because
+// an address inside an identifier is input of a caller.
 func (v *View) Known(a netip.AddrPort) bool {
 	if _, ok := v.candidates[a]; ok {
 		return true
@@ -114,7 +114,7 @@
 	return v.peers[a] != nil
 }
 
-// HandleHeartbeat takes in a peer's heartbeat and tells whether the set of live peers changed.
+// HandleHeartbeat records a peer's heartbeat and reports whether the set of live peers changed.
 func (v *View) HandleHeartbeat(now time.Duration, p Peer) (changed bool) {
 	if p.Address == v.config.Self {
 		return false
@@ -127,16 +127,15 @@
 	return changed
 }
 
-// HandlePause tells that this entry itself stood still for a time: the silence of its
-// peers meanwhile is not theirs. Without this an entry that wakes would count all of
-// them as dead and take all slots for its own.
+// HandlePause records that this entry itself was paused for a time d, in which it could receive no
+// heartbeats. Without this, an entry that resumes would count all peers as dead and take all slots.
 func (v *View) HandlePause(now, d time.Duration) {
 	for _, p := range v.peers {
 		p.LastHeartbeat = min(p.LastHeartbeat+d, now)
 	}
 }
 
-// AllHeardSince tells whether every live peer was heard at a time or later.
+// AllHeardSince reports whether every live peer has sent a heartbeat at time t or later.
 func (v *View) AllHeardSince(t time.Duration) bool {
 	for _, p := range v.peers {
 		if p.LastHeartbeat < t {
@@ -146,7 +145,7 @@
 	return true
 }
 
-// Tick drops peers that have been silent too long and tells whether any was.
+// Tick removes the peers whose time-out has passed, and reports whether there were any.
 func (v *View) Tick(now time.Duration) (changed bool) {
 	v.removeExpiredSuccessors(now)
 	for a, p := range v.peers {
@@ -165,10 +164,10 @@
 	return now-p.LastHeartbeat <= v.config.Timeout
 }
 
-// Peer returns the live peer at an address, nil when there is none.
+// Peer returns the live peer at an address, or nil if there is none.
 func (v *View) Peer(a netip.AddrPort) *Peer { return v.peers[a] }
 
-// Live returns the live peers of a failure domain sorted by address; all for "".
+// Live returns the live peers of a failure domain, or all of them for "", sorted by address.
 func (v *View) Live(domain string) []*Peer {
 	var live []*Peer
 	for _, p := range v.peers {
@@ -180,10 +179,10 @@
 	return live
 }
 
-// Members returns the addresses among which the slots of this failure domain are
-// divided: this entry and its live peers that are not stopping, sorted. An entry that
-// is stopping itself goes on counting its share as before, for retries of the tasks it
-// still runs, while its peers have divided the slots anew.
+// Members returns the addresses among which the slots of this failure domain are divided, sorted: this
+// entry and its live peers that are not stopping. An entry that is stopping continues to count itself,
+// for retries of the tasks that it still runs, while its peers have already divided the slots among
+// themselves.
 func (v *View) Members() []netip.AddrPort {
 	members := []netip.AddrPort{v.config.Self}
 	for _, p := range v.Live(v.config.Domain) {
