--- a/share/divide.go
+++ b/share/divide.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Demand is what somebody asks for.
+// Demand is a request for a part of the capacity.
 type Demand struct {
-	// Amount is in the unit of the capacity. Negative ones and NaN count as none.
+	// Amount is in the unit of the capacity. Negative amounts and NaN count as 0.
 	Amount float64
-	// Weight is the claim's part of short capacity compared with the others'; what isn't above 0
+	// Weight is the part of scarce capacity relative to the other demands. A weight that is not above 0
 	// counts as 1.
 	Weight float64
 }
@@ -29,9 +29,9 @@
 	return 1
 }
 
-// Divide returns each claim's part of the capacity by weighted max-min: nobody gets more than
-// the demand, and what one leaves is divided among the others by weight. So a claim whose demand
-// is below its weight's part of the capacity gets all of it, whatever the others ask for.
+// Divide returns the part of the capacity for each demand, by weighted max-min fairness. No demand gets
+// more than its amount, and what one does not use is divided among the others by weight. So a demand below
+// its weight's part of the capacity is met in full, whatever the others demand.
 func Divide(capacity float64, demands []Demand) []float64 {
 	order := make([]int, len(demands))
 	weights := 0.0
--- a/share/meter.go
+++ b/share/meter.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// A rate falls to a third in leastMemory and lastingPart of the time that the work lasts,
-	// when nothing more is asked for: what counts is how much would be busy at a time. It is
-	// longer for claims of few jobs, where fewestJobs count at least, as each alone would look
-	// like a burst.
+	// When no more work is added, a rate falls to a third (1/e) in minDecayTime plus decayPerRunTime of the
+	// run time of the work. The relevant quantity is the capacity that would be in use at one time. The
+	// decay time is longer for demands of few jobs, each of which would otherwise look like a burst: it
+	// covers at least minJobsPerDecay jobs.
 	minDecayTime    = 100 * time.Millisecond
 	decayPerRunTime = 0.5
 	minJobsPerDecay = 6
-	// longestMemory bounds it: a burst of rare jobs has to show in time too.
+	// maxDecayTime limits the decay time, so that a burst of rare jobs still raises the rate in time.
 	maxDecayTime = 3 * time.Second
-	// gapGain is the weight of one more gap between jobs.
+	// gapSmoothing is the weight of the latest gap between jobs in the mean gap.
 	gapSmoothing = 0.125
-	// forgetAfter is after how many such times without demand a claim is forgotten: its rate is
-	// less than a thousandth of what it was.
+	// forgetAfterDecays is the number of decay times without work after which a demand is removed. Its
+	// rate is then less than a thousandth of its former value.
 	forgetAfterDecays = 8
 )
 
-// Meter tells at which rate work is asked for, by claim. The zero value is ready for use. It is
-// not safe for concurrent use.
+// Meter measures the rate at which work is demanded, by key. The zero value is ready for use. It is not
+// safe for concurrent use.
 type Meter[K comparable] struct{ rates map[K]rate }
 
-// rate is a decaying mean.
+// rate is an exponentially decaying mean.
 type rate struct {
 	perSecond float64
-	// memory is the time in which it falls to a third, gap the usual one between jobs.
+	// decayTime is the time in which the rate falls to a third, meanGap the mean time between jobs.
 	decayTime, meanGap time.Duration
-	// at is when the last job came.
+	// lastJobAt is when the last job was added.
 	lastJobAt time.Duration
 }
 
@@ -42,7 +42,7 @@
 	return r.perSecond * math.Exp(-float64(at-r.lastJobAt)/float64(r.decayTime))
 }
 
-// add counts a job's work, which lasts for a time.
+// add returns the rate after one more job with an amount of work and a run time.
 func (r rate) add(now time.Duration, work float64, runTime time.Duration) rate {
 	n := rate{meanGap: r.meanGap, lastJobAt: now}
 	if r.decayTime > 0 {
@@ -53,7 +53,7 @@
 	return n
 }
 
-// Add counts a job's work, which lasts for a time when it has room.
+// Add counts one job's work, which takes runTime once it has capacity.
 func (m *Meter[K]) Add(now time.Duration, key K, work float64, runTime time.Duration) {
 	if m.rates == nil {
 		m.rates = make(map[K]rate)
@@ -61,11 +61,10 @@
 	m.rates[key] = m.rates[key].add(now, work, runTime)
 }
 
-// Rate returns the work that a claim asks for in a second.
+// Rate returns the work per second that is demanded under a key.
 func (m *Meter[K]) Rate(now time.Duration, key K) float64 { return m.rates[key].valueAt(now) }
 
-// Rates returns the work asked for in a second, and forgets claims that nobody has made for a
-// while.
+// Rates returns the work per second demanded under each key, and removes the keys without recent work.
 func (m *Meter[K]) Rates(now time.Duration) map[K]float64 {
 	rates := make(map[K]float64, len(m.rates))
 	for key, r := range m.rates {
