--- a/capacity/vector.go
+++ b/capacity/vector.go
@@ -1,7 +1,7 @@
-// Package capacity measures what a worker has and what a task needs.
+// Package capacity represents the resources of workers and the demands of tasks.
 package capacity
 
-// Vector is an amount of each resource of a worker.
+// Vector is an amount of each resource.
 type Vector struct {
 	// MilliCPU is in thousandths of a core.
 	MilliCPU int64
@@ -11,7 +11,7 @@
 	GPUs int64
 }
 
-// Fits reports whether v is available where free is left.
+// Fits reports whether v fits into the free resources.
 func (v Vector) Fits(free Vector) bool {
 	return v.MilliCPU <= free.MilliCPU && v.MemoryMB <= free.MemoryMB && v.GPUs <= free.GPUs
 }
@@ -31,7 +31,7 @@
 	return Vector{max(v.MilliCPU, w.MilliCPU), max(v.MemoryMB, w.MemoryMB), max(v.GPUs, w.GPUs)}
 }
 
-// FitCount returns how often v fits into free; most bounds the result.
+// FitCount returns how often v fits into free, but at most the given number.
 func (v Vector) FitCount(free Vector, most int) int {
 	n := int64(most)
 	for _, r := range [...][2]int64{{v.MilliCPU, free.MilliCPU}, {v.MemoryMB, free.MemoryMB}, {v.GPUs, free.GPUs}} {
--- a/routing/table.go
+++ b/routing/table.go
@@ -1,4 +1,4 @@
-// Package routing finds the queue of a caller's request in the operator's configuration.
+// Package routing maps a caller's request to a queue of the operator's configuration.
 package routing
 
 import (
@@ -8,33 +8,33 @@
 	"time"
 )
 
-// Route is one queue of the configuration.
+// Route maps requests to one queue of the configuration.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
-	// Service names the pool of workers.
+	// Service is the pool of workers that run the queue's tasks.
 	Service string
-	// Timeout bounds a request from its arrival; 0 for none.
+	// Timeout limits the time of a request from its arrival; 0 for no limit.
 	Timeout time.Duration
-	// TargetLatency and Stretch give when an answer is on time: Stretch times the work, and TargetLatency more.
+	// An answer is on time within Stretch times the duration of the work plus TargetLatency.
 	TargetLatency time.Duration
 	Stretch       float64
 	// Priority 0 is the most urgent.
 	Priority int
-	// MaxAttempts is how often a task may fail.
+	// MaxAttempts is the number of failures after which a task is not tried again.
 	MaxAttempts int
 }
 
-// Table is one version of the configuration. It is not changed once made.
+// Table is one version of the configuration. It is immutable.
 type Table struct {
 	Version uint64
-	// MaxBody and MaxHeader bound a request in bytes.
+	// MaxBody and MaxHeader are the limits of a request in bytes.
 	MaxBody, MaxHeader int64
 	byHost             map[string][]Route
 }
 
-// NewTable returns a table of the given routes.
+// NewTable returns a table of routes.
 func NewTable(version uint64, maxBody, maxHeader int64, routes []Route) *Table {
 	t := &Table{Version: version, MaxBody: maxBody, MaxHeader: maxHeader, byHost: make(map[string][]Route)}
 	for _, r := range routes {
@@ -48,8 +48,8 @@
 	return t
 }
 
-// Match returns the route with the longest prefix that the path begins with, and the
-// rest of the path.
+// Match returns the route of the host with the longest prefix of the path, and the rest of the path. It
+// ignores a port in host.
 func (t *Table) Match(host, path string) (r *Route, rest string, ok bool) {
 	if name, _, found := strings.Cut(host, ":"); found {
 		host = name
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -6,6 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// A request must be routed by its host, without the port, and by the longest matching prefix of its path.
 func TestMatch(t *testing.T) {
 	table := NewTable(3, 0, 0, []Route{
 		{Name: "short", Host: "a.example", Prefix: "/q/"},
--- a/task/task.go
+++ b/task/task.go
@@ -1,5 +1,5 @@
-// Package task holds the model that coordinators and executors share: a job is a set of
-// tasks; a task is run by one worker at a time, and each of its starts is a numbered run.
+// Package task holds the data model that coordinators and executors share. A job is a set of tasks. A
+// task is run by one worker at a time, and each of its starts is a numbered run.
 package task
 
 import (
@@ -9,62 +9,63 @@
 	"github.com/lavendercleat/lavendercleat/capacity"
 )
 
-// ID names a task.
+// ID identifies a task.
 type ID struct {
 	// Job is the caller's identifier of the job.
 	Job string
-	// Occurrence counts the times at which a recurring job is due, from 0.
+	// Occurrence is the number of the due time of a recurring job, from 0.
 	Occurrence uint32
-	// Step and Index give the task's place in its job, from 0.
+	// Step and Index are the task's position in its job, from 0.
 	Step  uint32
 	Index uint32
 }
 
-// String returns a form for logs.
+// String returns the ID in the form used in logs.
 func (i ID) String() string { return fmt.Sprintf("%s/%d/%d/%d", i.Job, i.Occurrence, i.Step, i.Index) }
 
-// Task is one task as its coordinator hands it to an executor.
+// Task is a task as its coordinator offers it to an executor.
 type Task struct {
 	ID ID
-	// Run is the number of the next start, from 1. Numbers of one task never fall.
+	// Run is the number of the next run, from 1. It never decreases for a task.
 	Run uint32
-	// Service names the pool of workers that may run the task.
+	// Service is the pool of workers that may run the task.
 	Service string
-	// Queue names the queue that the job came by; empty where queues aren't told apart.
+	// Queue is the queue in which the job arrived; empty where queues are not distinguished.
 	Queue string
-	// Label is one that the worker must have; empty for any worker.
+	// Label must be a label of the worker; empty for any worker.
 	Label string
-	// Payload is passed to the worker as it is.
+	// Payload is passed to the worker unchanged.
 	Payload string
 	Demand  capacity.Vector
 	// Priority 0 is the most urgent.
 	Priority int
 	// ExpectedRunTime is the caller's estimate of the run time.
 	ExpectedRunTime time.Duration
-	// StartBy is the last useful time to start, on the executor's clock. A task that
-	// waits longer is given back.
+	// StartBy is the latest useful start time, on the executor's clock. The executor returns a task that
+	// waits longer.
 	StartBy time.Duration
-	// Due is when the task has to end for its job to be on time, on the executor's clock.
+	// Due is the time by which the task must end for its job to be on time, on the executor's clock.
 	Due time.Duration
 	// Avoid lists workers on which the task has failed.
 	Avoid []string
-	// Durable tasks are of jobs that are stored: their ends are acknowledged to the worker
-	// only when they are stored too, and their runs outlive their coordinator for a moment.
+	// Durable tasks belong to jobs that are stored. Their completions are acknowledged to the worker only
+	// after they are stored too, and their runs continue for a moment after their coordinator fails.
 	Durable bool
-	// PerWorker is how many tasks of the step may run on one worker; 0: any number.
+	// PerWorker is the number of tasks of the step that may run on one worker; 0 for any number.
 	PerWorker int
-	// NoWait: the task is given back at once unless it can start now.
+	// NoWait: the executor returns the task at once unless the task can start now.
 	NoWait bool
-	// MaxEpoch bounds the workers that may start the task, by the tenures of the executor that the
-	// coordinator knew of when it offered the task: what it doesn't know of it can't wait for when
-	// the executor is lost. 0: not told, any worker may.
+	// MaxEpoch is the highest holding epoch of a worker in which the task may start: the last epoch of
+	// the executor that the coordinator knew when it offered the task. The coordinator could not wait for
+	// runs in later epochs if the executor were lost. 0: the bound is not given, and any worker may start
+	// the task.
 	MaxEpoch uint64
-	// OverShare tasks are of jobs beyond the share of their queue and callers: they wait behind
-	// those within theirs.
+	// OverShare tasks belong to jobs beyond the share of their queue and callers. They wait behind the
+	// tasks within their shares.
 	OverShare bool
 }
 
-// CompareOverShare puts tasks within their shares before surplus ones.
+// CompareOverShare orders tasks within their shares before tasks over their shares.
 func CompareOverShare(a, b *Task) int {
 	switch {
 	case a.OverShare == b.OverShare:
@@ -76,28 +77,28 @@
 	}
 }
 
-// RunRef names one run of a task.
+// RunRef identifies one run of a task.
 type RunRef struct {
 	ID  ID
 	Run uint32
 }
 
-// Outcome is what became of a run.
+// Outcome is the outcome of a run.
 type Outcome uint8
 
 // Outcomes.
 const (
-	// NotRun: no worker has started this run and none ever will.
+	// NotRun: no worker has started this run, and none ever will.
 	NotRun Outcome = iota + 1
-	// Started: a worker runs it.
+	// Started: a worker is running it.
 	Started
-	// Done: it ended well.
+	// Done: the run succeeded.
 	Done
-	// Failed: it ended by its own fault or the worker's.
+	// Failed: the run failed, through its own fault or the worker's.
 	Failed
-	// Terminated: it may have started, and it is certain that it doesn't run any more.
+	// Terminated: the run may have started, and certainly is not running any more.
 	Terminated
-	// Moved: another executor took the worker over; the run may go on there.
+	// Moved: another executor has taken over the worker; the run may continue there.
 	Moved
 )
 
@@ -115,19 +116,20 @@
 	ID      ID
 	Run     uint32
 	Outcome Outcome
-	// Worker is where it ran or runs.
+	// Worker is the worker that ran the task, or is running it.
 	Worker string
-	// Reason says why, in the words of the executor's log.
+	// Reason is the cause, as in the executor's log.
 	Reason string
-	// Token, in reports of Started and Moved, is the fencing token that the worker obeyed in the
-	// executor's tenure; 0: not told.
+	// Token is set in reports of Started and Moved: the fencing token that the worker accepted in the
+	// executor's holding epoch. 0: not given.
 	Token uint64
 }
 
-// RunningTask is a run that a worker lists.
+// RunningTask is a run in a worker's list of runs.
 type RunningTask struct {
 	ID  ID
 	Run uint32
-	// Done and Failed tell how an ended run ended; neither for one that runs or was cut off.
+	// Done and Failed report how an ended run ended. Both are false for a run that continues or was cut
+	// off.
 	Done, Failed bool
 }
