--- a/arbiter/client.go
+++ b/arbiter/client.go
@@ -47,7 +47,7 @@
 }
 
 // RequestStart requests the right to start a job whose caller waits until the deadline. If an earlier
-// attempt at the job is still stopping here, the request is made after that has stopped.
+// attempt at the job is still stopping here, the client requests the job after that attempt has stopped.
 func (c *Client) RequestStart(now time.Duration, job string, deadline time.Duration) {
 	if a := c.jobs[job]; a != nil && a.state == stopping {
 		a.restart, a.requestedAt, a.deadline = true, now, deadline
@@ -199,7 +199,8 @@
 }
 
 // HandleQuery handles a query of a daemon to which an arbiter has named this one as the job's holder.
-// The daemon becomes a waiter for the job's answer, or is told that nothing of the job runs here.
+// The daemon becomes a waiter for the job's answer, or the client replies that nothing of the job runs
+// here.
 func (c *Client) HandleQuery(from member.Process, job string) {
 	a := c.jobs[job]
 	switch {
@@ -336,9 +337,9 @@
 }
 
 // HandleReachable records that a daemon is reachable, again or for the first time. The client requests
-// jobs from it that it was not asked for, or that it may have granted to another daemon meanwhile. A
-// daemon that becomes an arbiter of a started job is told of the job; otherwise it would grant the job
-// to others.
+// jobs for which it has not asked that daemon yet, or that the daemon may have granted to another one
+// meanwhile. If the daemon becomes an arbiter of a started job, the request tells it of the job;
+// otherwise it would grant the job to others.
 func (c *Client) HandleReachable(now time.Duration, p member.Process) {
 	for _, a := range c.sortedJobs() {
 		r, asked := a.replies[p]
--- a/arbiter/messages.go
+++ b/arbiter/messages.go
@@ -34,9 +34,9 @@
 	Revoked []string
 	// Expired lists jobs whose callers no longer wait for the right to start them.
 	Expired []Expiry
-	// WaiterUnreachable lists jobs for whose answer a daemon waited here that is now unreachable.
+	// WaiterUnreachable lists jobs for which a daemon waited here that has become unreachable.
 	WaiterUnreachable []string
-	// HeldElsewhere lists jobs that were found to be held by another daemon, for the log.
+	// HeldElsewhere lists jobs that another daemon turned out to hold, for the log.
 	HeldElsewhere []HeldJob
 	// QuiescenceChecks lists holders that are unreachable. The caller must call HandleQuiescence when
 	// no executor runs anything of their jobs any more.
--- a/registry/feed.go
+++ b/registry/feed.go
@@ -38,7 +38,7 @@
 	RetiredDomain
 )
 
-// Item is a state of an entry, or its deletion.
+// Item is the content of an entry at a revision, or the entry's deletion.
 type Item struct {
 	Kind     Kind
 	ID       string
