--- a/internal/node/cellfeed.go
+++ b/internal/node/cellfeed.go
@@ -30,16 +30,16 @@
 	feedDialTimeout = 150 * time.Millisecond
 	// rootsAsked is how many roots are asked before the store is: each that doesn't answer
 	// makes what is known here older, and with it what all of the cell rely on.
-	rootsAsked = 2
+	maxRootsAsked = 2
 	// feedSilence is the time after which data that a root doesn't acknowledge breaks the
 	// connection.
-	feedSilence = time.Second
+	feedAckTimeout = time.Second
 	// rootPatience is how old a root's last word from the store may be. A read of its own each
 	// 0.7 s keeps it younger; an older one is refused, and its reader asks the next root or the
 	// store, before those that rely on the reader read by themselves.
-	rootPatience = time.Second
+	maxRootAge = time.Second
 	// avoidRoot is how long a root that didn't answer is not asked again.
-	avoidRoot   = 5 * time.Second
+	rootRetryDelay   = 5 * time.Second
 	maxFeedBody = 8 << 20
 )
 
@@ -49,60 +49,60 @@
 	n      *Node
 	client *http.Client
 	// avoided tells until when a root is not asked.
-	avoided map[netip.AddrPort]time.Time
+	avoidUntil map[netip.AddrPort]time.Time
 }
 
 func newCellFeed(n *Node) *cellFeed {
-	d := tcp.Dialer(feedDialTimeout, feedSilence)
-	return &cellFeed{n: n, avoided: make(map[netip.AddrPort]time.Time), client: &http.Client{
+	d := tcp.Dialer(feedDialTimeout, feedAckTimeout)
+	return &cellFeed{n: n, avoidUntil: make(map[netip.AddrPort]time.Time), client: &http.Client{
 		Transport: &http.Transport{DialContext: d.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 1},
 	}}
 }
 
 // Read implements registry.Feed.
 func (f *cellFeed) Read(ctx context.Context) ([]registry.Item, int64, error) {
-	if g := f.ask(ctx, 0, followWait); g != nil {
-		f.n.keepPacked(g)
+	if g := f.askRoots(ctx, 0, followWait); g != nil {
+		f.n.cachePacked(g)
 		return itemsOf(g.GetEntries()), g.GetRevision(), nil
 	}
 	items, revision, err := f.n.platform.Fleet.Read(ctx)
-	f.n.readFrom("", 0)
+	f.n.setReadSource("", 0)
 	return items, revision, err
 }
 
 // Watch implements registry.Feed.
 func (f *cellFeed) Watch(ctx context.Context, after int64, wait time.Duration) (registry.Changes, error) {
-	if g := f.ask(ctx, after, wait); g != nil {
+	if g := f.askRoots(ctx, after, wait); g != nil {
 		if g.GetComplete() {
 			return registry.Changes{}, registry.ErrCompacted
 		}
 		return registry.Changes{Items: itemsOf(g.GetEntries()), Revision: max(g.GetRevision(), after)}, nil
 	}
 	changes, err := f.n.platform.Fleet.Watch(ctx, after, wait)
-	f.n.readFrom("", 0)
+	f.n.setReadSource("", 0)
 	return changes, err
 }
 
 // ask asks a root what has changed after a revision, and if it doesn't answer the next one, for
 // what that knows at once; nil when this daemon is to read the store, or neither answers.
-func (f *cellFeed) ask(ctx context.Context, after int64, wait time.Duration) *schema.Registry {
+func (f *cellFeed) askRoots(ctx context.Context, after int64, wait time.Duration) *schema.Registry {
 	asked := 0
-	for _, root := range f.n.roots() {
-		if time.Now().Before(f.avoided[root]) {
+	for _, root := range f.n.rootFeeds() {
+		if time.Now().Before(f.avoidUntil[root]) {
 			continue
 		}
-		if asked++; asked > rootsAsked {
+		if asked++; asked > maxRootsAsked {
 			return nil
 		}
 		g, err := f.fetch(ctx, root, after, wait)
 		if err == nil {
-			f.n.readFrom(root.String(), ms(g.GetAgeMs()))
+			f.n.setReadSource(root.String(), ms(g.GetAgeMs()))
 			return g
 		}
 		if ctx.Err() != nil {
 			return nil
 		}
-		f.avoided[root], wait = time.Now().Add(avoidRoot), 0
+		f.avoidUntil[root], wait = time.Now().Add(rootRetryDelay), 0
 		f.n.log.WithFields(logrus.Fields{"event": "root_silent", "root": root, "error": err}).Warn()
 	}
 	return nil
@@ -147,10 +147,10 @@
 }
 
 // readFrom notes who has told what is taken next.
-func (n *Node) readFrom(root string, age time.Duration) {
+func (n *Node) setReadSource(root string, age time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r := &n.fleet.relay
+	r := &n.fleet.sync
 	if r.root != root {
 		n.log.WithFields(logrus.Fields{"event": "reads_from", "root": root, "before": r.root}).Info()
 	}
@@ -159,23 +159,23 @@
 
 // keepPacked keeps a root's list of all entries for those of this daemon's cell that ask for it:
 // to compress it anew takes a small machine a tenth of a second.
-func (n *Node) keepPacked(g *schema.Registry) {
+func (n *Node) cachePacked(g *schema.Registry) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.fleet.relay.packed, n.fleet.relay.packedAt = g.GetPacked(), g.GetRevision()
+	n.fleet.sync.packed, n.fleet.sync.packedRevision = g.GetPacked(), g.GetRevision()
 }
 
 // roots are the feeds of the daemons that this one asks instead of the store, best first; none
 // where it is a root itself, reads for nobody, or the fleet is one cell.
-func (n *Node) roots() (feeds []netip.AddrPort) {
+func (n *Node) rootFeeds() (feeds []netip.AddrPort) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f := &n.fleet
-	if n.config.FeedPort == 0 || f.cells.Count() == 1 || !f.relay.reader {
+	if n.config.FeedPort == 0 || f.cells.Count() == 1 || !f.sync.isRelay {
 		return nil
 	}
-	places := f.places(n.self)
-	roots := registry.SelectRootRelays(cellReaders(f.cells, places))
+	places := f.daemonInfos(n.self)
+	roots := registry.SelectRootRelays(relaysOfCells(f.cells, places))
 	self := registry.Relay{Process: n.self.Process, Domain: n.self.Domain, Weight: n.self.Weight}
 	for _, r := range registry.RankRootRelays(self, roots) {
 		if r.Address == n.self.Address {
@@ -187,7 +187,7 @@
 }
 
 // cellReaders are the daemons that read for their cells, by the list of daemons.
-func cellReaders(c fleet.Cells, places []fleet.DaemonInfo) (all []registry.Relay) {
+func relaysOfCells(c fleet.Cells, places []fleet.DaemonInfo) (all []registry.Relay) {
 	byCell := make([][]registry.Relay, c.Count())
 	for _, p := range places {
 		r := registry.Relay{Process: member.Process{Address: p.Address}, Domain: p.Domain, Weight: p.Weight}
@@ -241,15 +241,15 @@
 // hasn't heard from the store lately.
 func (n *Node) awaitRead(ctx context.Context, after int64, wait time.Duration) {
 	n.mu.Lock()
-	r := &n.fleet.relay
-	if r.known > after || r.known > 0 && n.clock.now()-r.readAt > rootPatience {
+	r := &n.fleet.sync
+	if r.knownRevision > after || r.knownRevision > 0 && n.clock.now()-r.storeAnsweredAt > maxRootAge {
 		n.mu.Unlock()
 		return
 	}
-	if r.read == nil {
-		r.read = make(chan struct{})
+	if r.nextRead == nil {
+		r.nextRead = make(chan struct{})
 	}
-	read := r.read
+	read := r.nextRead
 	n.mu.Unlock()
 	t := time.NewTimer(wait)
 	defer t.Stop()
@@ -266,20 +266,20 @@
 func (n *Node) entriesAfter(after int64) *schema.Registry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r, now := &n.fleet.relay, n.clock.now()
-	age := now - r.readAt
-	if r.known == 0 || r.root != "" || r.readAt == 0 || age > rootPatience || n.stopping.Load() {
+	r, now := &n.fleet.sync, n.clock.now()
+	age := now - r.storeAnsweredAt
+	if r.knownRevision == 0 || r.root != "" || r.storeAnsweredAt == 0 || age > maxRootAge || n.stopping.Load() {
 		return nil
 	}
-	g := &schema.Registry{Revision: r.known, Since: after, AgeMs: age.Milliseconds()}
-	if after == 0 || after < n.fleet.forgotten {
+	g := &schema.Registry{Revision: r.knownRevision, Since: after, AgeMs: age.Milliseconds()}
+	if after == 0 || after < n.fleet.forgottenRevision {
 		g.Since, g.Complete, g.Packed = 0, true, n.allPacked()
 		if g.Packed == nil {
 			return nil
 		}
 		return g
 	}
-	if after < r.known {
+	if after < r.knownRevision {
 		g.Entries = n.fleet.changedSince(after)
 	}
 	return g
--- a/internal/node/convert.go
+++ b/internal/node/convert.go
@@ -123,9 +123,9 @@
 	case m.WithdrawDurable != nil:
 		return &schema.Frame{Body: &schema.Frame_Withdrawal{Withdrawal: &schema.Withdrawal{Tasks: idsToWire(m.WithdrawDurable), HoldEnds: true}}}
 	case m.ConfirmStored != nil:
-		return &schema.Frame{Body: &schema.Frame_Settlement{Settlement: &schema.Settlement{Runs: settledToWire(m.ConfirmStored)}}}
+		return &schema.Frame{Body: &schema.Frame_Settlement{Settlement: &schema.Settlement{Runs: runRefsToWire(m.ConfirmStored)}}}
 	case m.Superseded != nil:
-		return &schema.Frame{Body: &schema.Frame_Settlement{Settlement: &schema.Settlement{Runs: settledToWire(m.Superseded), LapseFirst: true}}}
+		return &schema.Frame{Body: &schema.Frame_Settlement{Settlement: &schema.Settlement{Runs: runRefsToWire(m.Superseded), LapseFirst: true}}}
 	case m.Reserve != nil || m.Unreserve != nil:
 		return &schema.Frame{Body: &schema.Frame_Reservation{Reservation: &schema.Reservation{Tasks: tasksToWire(now, m.Reserve), Dropped: idsToWire(m.Unreserve)}}}
 	case m.Reconcile != nil:
@@ -135,7 +135,7 @@
 	}
 }
 
-func settledToWire(runs []task.RunRef) []*schema.SettledRun {
+func runRefsToWire(runs []task.RunRef) []*schema.SettledRun {
 	out := make([]*schema.SettledRun, len(runs))
 	for i, r := range runs {
 		out[i] = &schema.SettledRun{Id: idToWire(r.ID), Run: r.Run}
@@ -143,7 +143,7 @@
 	return out
 }
 
-func settledFromWire(runs []*schema.SettledRun) []task.RunRef {
+func runRefsFromWire(runs []*schema.SettledRun) []task.RunRef {
 	out := make([]task.RunRef, len(runs))
 	for i, r := range runs {
 		out[i] = task.RunRef{ID: idFromWire(r.GetId()), Run: r.GetRun()}
@@ -152,19 +152,19 @@
 }
 
 // paceToWire tells a ratio in percent; 0: not known.
-func paceToWire(ratio float64) uint32 {
-	return uint32(min(max(math.Round(100*ratio), 0), maxPacePercent))
+func slowdownToWire(slowdown float64) uint32 {
+	return uint32(min(max(math.Round(100*slowdown), 0), maxSlowdownPercent))
 }
 
 // maxPacePercent bounds what is told of a worker's pace: one that takes a hundred times as long
 // as declared is as useless as a slower one.
-const maxPacePercent = 10000
+const maxSlowdownPercent = 10000
 
 // holderFromPulse takes a peer's heartbeat as what its executor has left.
-func holderFromPulse(p member.Process, near int, pulse *schema.Pulse) coordinator.ExecutorState {
+func executorFromHeartbeat(p member.Process, distance int, pulse *schema.Pulse) coordinator.ExecutorState {
 	h := coordinator.ExecutorState{
-		Process: p, Distance: near, Leaving: pulse.GetLeaving() || !pulse.GetServing(),
-		Backlog: make(map[string]executor.Backlog), ReportInterval: ms(pulse.GetNextMs()), Demands: demandsFromPulse(pulse),
+		Process: p, Distance: distance, Leaving: pulse.GetLeaving() || !pulse.GetServing(),
+		Backlog: make(map[string]executor.Backlog), ReportInterval: ms(pulse.GetNextMs()), Demands: demandsFromHeartbeat(pulse),
 		Workers: make([]executor.WorkerCapacity, 0, len(pulse.GetRooms())),
 	}
 	for _, r := range pulse.GetRooms() {
--- a/internal/node/demands.go
+++ b/internal/node/demands.go
@@ -9,10 +9,10 @@
 )
 
 // tellShares adds what callers ask for to a heartbeat, and publishes it with their shares.
-func (n *Node) tellShares(now time.Duration, p *schema.Pulse) {
-	list := n.coordinator.ShareStates(now)
-	n.metrics.shares(list)
-	for _, s := range list {
+func (n *Node) reportShares(now time.Duration, p *schema.Pulse) {
+	queues := n.coordinator.ShareStates(now)
+	n.metrics.publishShares(queues)
+	for _, s := range queues {
 		if s.OwnDemand > 0 {
 			p.Demands = append(p.Demands, &schema.Demand{Service: s.Service, Queue: s.Queue, MilliCpu: s.OwnDemand})
 		}
@@ -20,42 +20,42 @@
 }
 
 // shares publishes what a coordinator tells of its queues; others leave the metrics.
-func (m *metricSet) shares(list []coordinator.ShareState) {
+func (m *metricSet) publishShares(list []coordinator.ShareState) {
 	shown := make(map[string]bool, len(list))
 	for _, s := range list {
 		labels := fmt.Sprintf("{service=%q,queue=%q}", s.Service, s.Queue)
 		shown[labels] = true
-		m.share(labels, s)
+		m.publishShare(labels, s)
 	}
-	for labels := range m.queues {
+	for labels := range m.publishedQueues {
 		if !shown[labels] {
-			for _, name := range []string{queueDemand, queueShare, surplusJobs, surplusRefusals} {
+			for _, name := range []string{queueDemand, queueShare, overShareJobs, overShareRefusals} {
 				m.set.UnregisterMetric(name + labels)
 			}
 		}
 	}
-	m.queues = shown
+	m.publishedQueues = shown
 }
 
 // Names of the metrics of a queue.
 const (
 	queueDemand     = "lavendercleat_queue_demand_cores"
 	queueShare      = "lavendercleat_queue_share_cores"
-	surplusJobs     = "lavendercleat_surplus_jobs_total"
-	surplusRefusals = "lavendercleat_surplus_refusals_total"
+	overShareJobs     = "lavendercleat_surplus_jobs_total"
+	overShareRefusals = "lavendercleat_surplus_refusals_total"
 )
 
 // share publishes a queue's demand and share in this failure domain, and this daemon's jobs
 // beyond it.
-func (m *metricSet) share(labels string, s coordinator.ShareState) {
+func (m *metricSet) publishShare(labels string, s coordinator.ShareState) {
 	m.set.GetOrCreateGauge(queueDemand+labels, nil).Set(s.Demand / 1000)
 	m.set.GetOrCreateGauge(queueShare+labels, nil).Set(s.Share / 1000)
-	m.set.GetOrCreateCounter(surplusJobs + labels).Set(s.OverShare)
-	m.set.GetOrCreateCounter(surplusRefusals + labels).Set(s.Refused)
+	m.set.GetOrCreateCounter(overShareJobs + labels).Set(s.OverShare)
+	m.set.GetOrCreateCounter(overShareRefusals + labels).Set(s.Refused)
 }
 
 // demandsFromPulse takes what a peer's callers ask for.
-func demandsFromPulse(pulse *schema.Pulse) []coordinator.Demand {
+func demandsFromHeartbeat(pulse *schema.Pulse) []coordinator.Demand {
 	var list []coordinator.Demand
 	for _, d := range pulse.GetDemands() {
 		list = append(list, coordinator.Demand{Service: d.GetService(), Queue: d.GetQueue(), MilliCPU: d.GetMilliCpu()})
@@ -64,10 +64,10 @@
 }
 
 // surplusToWire leaves out a band without work, which is the usual one.
-func surplusToWire(work []int64) []int64 {
-	for _, w := range work {
+func overShareToWire(backlog []int64) []int64 {
+	for _, w := range backlog {
 		if w != 0 {
-			return work
+			return backlog
 		}
 	}
 	return nil
--- a/internal/node/entries.go
+++ b/internal/node/entries.go
@@ -20,30 +20,30 @@
 	missingGrace = 2500 * time.Millisecond
 	// outageMemory is how long after a failure of the store vanished entries count as
 	// lapsed by it.
-	outageMemory = 5 * time.Second
+	outagePeriod = 5 * time.Second
 	// daemonGrace is how long a daemon whose entry has vanished still counts where cells and
 	// their shares of the workers are concerned. It may be about to start again, or all
 	// entries may have lapsed with the store; each change moves workers between cells.
-	daemonGrace = 15 * time.Second
+	removedDaemonGrace = 15 * time.Second
 	// goneMemory is how long the end of a worker's entry is remembered: what was read before
 	// it may come later, from another daemon, and a daemon that was cut off asks for what has
 	// ended meanwhile.
-	goneMemory = time.Minute
+	removedWorkerMemory = time.Minute
 )
 
 // knownWorker is a worker's entry in the registry.
 type knownWorker struct {
 	info executor.WorkerInfo
 	// revision is that of the entry, changed that of its last change that was no renewal.
-	revision, changed int64
+	revision, changedRevision int64
 	// missing is when the entry vanished in the wake of an outage of the store, and
 	// missingSince the revision by which it did; 0: it is there.
-	missing      time.Duration
-	missingSince int64
+	missingSince      time.Duration
+	missingRevision int64
 	// content is the entry as it was read, passed on to peers.
 	content []byte
 	// stay tells whether the worker is of this daemon's cell.
-	stay fleet.CellMembership
+	membership fleet.CellMembership
 }
 
 // knownDaemon is another daemon's entry in the registry.
@@ -51,21 +51,21 @@
 	fleet.DaemonInfo
 	revision int64
 	// gone is when the entry vanished; 0: it is there.
-	gone    time.Duration
+	removedAt    time.Duration
 	content []byte
 }
 
 // goneWorker is the end of a worker's entry.
-type goneWorker struct {
+type removedWorker struct {
 	// revision is that of the end, told the one up to which peers had been told when the
 	// worker was judged to be gone by it.
-	revision, told int64
-	at             time.Duration
+	revision, reportedRevision int64
+	removedAt             time.Duration
 }
 
 // takeEntries takes entries of workers and daemons that this daemon has read itself, and
 // passes on what has changed by them. The lock is held.
-func (n *Node) takeEntries(now time.Duration, items []registry.Item) {
+func (n *Node) applyEntries(now time.Duration, items []registry.Item) {
 	f := &n.fleet
 	var workers, daemons []registry.Item
 	for _, i := range items {
@@ -76,19 +76,19 @@
 			daemons = append(daemons, i)
 		}
 	}
-	changed := n.takeWorkers(now, workers, func(id string) bool { return f.vanished(now, id) })
+	changed := n.applyWorkers(now, workers, func(id string) bool { return f.entryMissing(now, id) })
 	if len(daemons) > 0 {
-		n.takeDaemons(now, daemons)
+		n.applyDaemons(now, daemons)
 	}
 	if changed {
-		n.reassign()
+		n.scheduleReassign()
 	}
-	n.passOn()
+	n.sendChanges()
 }
 
 // takeWorkers takes entries of workers and reports whether workers are to be divided anew.
 // gone judges whether a worker has left whose entry has vanished.
-func (n *Node) takeWorkers(now time.Duration, items []registry.Item, gone func(id string) bool) bool {
+func (n *Node) applyWorkers(now time.Duration, items []registry.Item, hasLeft func(id string) bool) bool {
 	f := &n.fleet
 	changed, before := false, len(f.workers)
 	for _, i := range items {
@@ -97,15 +97,15 @@
 		}
 		if i.Deleted {
 			if w := f.workers[i.ID]; w != nil {
-				w.missingSince = i.Revision
-				if gone(i.ID) {
-					f.remove(now, i.ID, i.Revision)
+				w.missingRevision = i.Revision
+				if hasLeft(i.ID) {
+					f.removeWorker(now, i.ID, i.Revision)
 					changed = true
 				}
 			}
 			continue
 		}
-		changed = n.takeWorker(i) || changed
+		changed = n.applyWorker(i) || changed
 	}
 	if len(f.workers) != before {
 		n.log.WithFields(logrus.Fields{"event": "workers_known", "workers": len(f.workers), "before": before}).Info()
@@ -116,16 +116,16 @@
 // outdated reports whether a later entry, or a later end, of the worker is known.
 func (f *fleetView) outdated(i registry.Item) bool {
 	w := f.workers[i.ID]
-	return w != nil && i.Revision < w.revision || i.Revision < f.gone[i.ID].revision
+	return w != nil && i.Revision < w.revision || i.Revision < f.removedWorkers[i.ID].revision
 }
 
 // takeWorker takes one entry and reports whether workers are to be divided anew.
-func (n *Node) takeWorker(i registry.Item) bool {
+func (n *Node) applyWorker(i registry.Item) bool {
 	f := &n.fleet
 	known := f.workers[i.ID]
 	info, err := n.platform.DecodeWorker(i.ID, i.Content)
 	if err != nil {
-		n.metrics.entryInvalid("worker")
+		n.metrics.countInvalidEntry("worker")
 		n.log.WithFields(logrus.Fields{"event": "entry_invalid", "worker": i.ID, "error": err}).Error()
 		if known == nil {
 			return false
@@ -136,8 +136,8 @@
 		info.Draining = true
 	}
 	if known == nil {
-		f.workers[i.ID] = &knownWorker{info: info, content: i.Content, revision: i.Revision, changed: i.Revision}
-		f.relay.note(i)
+		f.workers[i.ID] = &knownWorker{info: info, content: i.Content, revision: i.Revision, changedRevision: i.Revision}
+		f.sync.addChange(i)
 		n.log.WithFields(logrus.Fields{"event": "worker_known", "worker": i.ID, "domain": info.Domain, "service": info.Service, "milli_cpu": info.Capacity.MilliCPU}).Debug()
 		return true
 	}
@@ -150,30 +150,30 @@
 	if known.info.Capacity != info.Capacity {
 		n.log.WithFields(logrus.Fields{"event": "worker_resized", "worker": i.ID, "milli_cpu": info.Capacity.MilliCPU, "before": known.info.Capacity.MilliCPU}).Info()
 	}
-	changed := known.info.Draining != info.Draining || known.info.Capacity != info.Capacity || known.info.Incarnation != info.Incarnation || known.missing > 0
+	changed := known.info.Draining != info.Draining || known.info.Capacity != info.Capacity || known.info.Incarnation != info.Incarnation || known.missingSince > 0
 	if changed || known.info.Address != info.Address || known.info.Service != info.Service || known.info.Domain != info.Domain ||
 		!slices.Equal(known.info.Labels, info.Labels) {
-		known.changed = i.Revision
-		f.relay.note(i)
+		known.changedRevision = i.Revision
+		f.sync.addChange(i)
 	}
-	known.info, known.content, known.revision, known.missing = info, i.Content, i.Revision, 0
+	known.info, known.content, known.revision, known.missingSince = info, i.Content, i.Revision, 0
 	return changed
 }
 
 // remove forgets a worker that has left.
-func (f *fleetView) remove(now time.Duration, id string, revision int64) {
+func (f *fleetView) removeWorker(now time.Duration, id string, revision int64) {
 	delete(f.workers, id)
-	f.gone[id] = goneWorker{revision: revision, told: max(revision, f.relay.known), at: now}
-	f.relay.note(registry.Item{Kind: registry.Worker, ID: id, Revision: revision, Deleted: true})
+	f.removedWorkers[id] = removedWorker{revision: revision, reportedRevision: max(revision, f.sync.knownRevision), removedAt: now}
+	f.sync.addChange(registry.Item{Kind: registry.Worker, ID: id, Revision: revision, Deleted: true})
 }
 
 // vanished notes that an entry is not there any more and reports whether the worker is
 // gone by it.
-func (f *fleetView) vanished(now time.Duration, id string) bool {
+func (f *fleetView) entryMissing(now time.Duration, id string) bool {
 	w := f.workers[id]
-	if f.outage > 0 && now-f.outage < outageMemory {
-		if w.missing == 0 {
-			w.missing = now
+	if f.storeFailedAt > 0 && now-f.storeFailedAt < outagePeriod {
+		if w.missingSince == 0 {
+			w.missingSince = now
 		}
 		return false
 	}
@@ -182,25 +182,25 @@
 
 // dropMissing forgets workers whose entries have not come back after an outage, and ends
 // that are long past.
-func (f *fleetView) dropMissing(now time.Duration) bool {
+func (f *fleetView) removeMissing(now time.Duration) bool {
 	changed := false
 	for id, w := range f.workers {
-		if w.missing > 0 && now-w.missing >= missingGrace {
-			f.remove(now, id, w.missingSince)
+		if w.missingSince > 0 && now-w.missingSince >= missingGrace {
+			f.removeWorker(now, id, w.missingRevision)
 			changed = true
 		}
 	}
-	for id, g := range f.gone {
-		if now-g.at >= goneMemory {
-			delete(f.gone, id)
-			f.forgotten = max(f.forgotten, g.told)
+	for id, g := range f.removedWorkers {
+		if now-g.removedAt >= removedWorkerMemory {
+			delete(f.removedWorkers, id)
+			f.forgottenRevision = max(f.forgottenRevision, g.reportedRevision)
 		}
 	}
 	return changed
 }
 
 // takeDaemons takes entries of daemons and links those of this daemon's cell. The lock is held.
-func (n *Node) takeDaemons(now time.Duration, items []registry.Item) {
+func (n *Node) applyDaemons(now time.Duration, items []registry.Item) {
 	f := &n.fleet
 	for _, i := range items {
 		known := f.daemons[i.ID]
@@ -208,10 +208,10 @@
 			continue
 		}
 		if i.Deleted {
-			if known != nil && known.gone == 0 {
-				known.gone, known.revision = now, i.Revision
-				f.departed++
-				f.relay.note(i)
+			if known != nil && known.removedAt == 0 {
+				known.removedAt, known.revision = now, i.Revision
+				f.removedDaemons++
+				f.sync.addChange(i)
 			}
 			continue
 		}
@@ -225,40 +225,40 @@
 			n.log.WithFields(logrus.Fields{"event": "entry_invalid", "daemon": i.ID, "error": err}).Error()
 			continue
 		}
-		if known != nil && known.gone > 0 {
-			f.departed--
+		if known != nil && known.removedAt > 0 {
+			f.removedDaemons--
 		}
-		f.relay.note(i)
+		f.sync.addChange(i)
 		f.daemons[i.ID] = &knownDaemon{
 			DaemonInfo: fleet.DaemonInfo{Address: a, Domain: id.GetDomain(), Weight: float64(id.GetMilliCores()) / 1000},
 			revision:   i.Revision, content: i.Content,
 		}
 	}
-	n.fitCells(now)
-	if n.placed.Load() { // before, the list may be a part of it
-		for _, p := range f.places(n.self) {
+	n.resizeCells(now)
+	if n.cellResolved.Load() { // before, the list may be a part of it
+		for _, p := range f.daemonInfos(n.self) {
 			if p.Address != n.self.Address && f.inCell(p.Address) {
 				n.mesh.AddPeers(p.Address)
 			}
 		}
 	}
 	if f.cells.Count() > 1 {
-		n.reassign() // cells share the workers by their sizes
+		n.scheduleReassign() // cells share the workers by their sizes
 	}
 }
 
 // dropDeparted forgets daemons whose entries have not come back, and reports whether
 // there were any.
-func (f *fleetView) dropDeparted(now time.Duration) bool {
-	if f.departed == 0 {
+func (f *fleetView) forgetRemovedDaemons(now time.Duration) bool {
+	if f.removedDaemons == 0 {
 		return false
 	}
 	dropped := false
 	for id, d := range f.daemons {
-		if d.gone > 0 && now-d.gone >= daemonGrace {
+		if d.removedAt > 0 && now-d.removedAt >= removedDaemonGrace {
 			delete(f.daemons, id)
-			f.forgotten = max(f.forgotten, d.revision)
-			f.departed--
+			f.forgottenRevision = max(f.forgottenRevision, d.revision)
+			f.removedDaemons--
 			dropped = true
 		}
 	}
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -18,7 +18,7 @@
 type metricSet struct {
 	set *metrics.Set
 	// queues are the labels of the queues that are published, under the daemon's lock.
-	queues map[string]bool
+	publishedQueues map[string]bool
 }
 
 func newMetricSet() *metricSet { return &metricSet{set: metrics.NewSet()} }
@@ -45,42 +45,42 @@
 	m.set.GetOrCreateCounter(text + "}").Inc()
 }
 
-var callNames = [...]string{"none", "start", "stop", "poll"}
+var orderNames = [...]string{"none", "start", "stop", "poll"}
 
-func (m *metricSet) ordered(k executor.CallKind, v executor.Verdict) {
-	m.count("worker_orders", "order", callNames[k], "answer", v.String())
+func (m *metricSet) countOrder(k executor.CallKind, v executor.Verdict) {
+	m.count("worker_orders", "order", orderNames[k], "answer", v.String())
 }
 
-func (m *metricSet) reported(o task.Outcome)  { m.count("task_reports", "outcome", o.String()) }
-func (m *metricSet) reservation(event string) { m.count("reservations", "event", event) }
-func (m *metricSet) ended(status, reason string) {
+func (m *metricSet) countReport(o task.Outcome)  { m.count("task_reports", "outcome", o.String()) }
+func (m *metricSet) countReservation(event string) { m.count("reservations", "event", event) }
+func (m *metricSet) countJob(status, reason string) {
 	m.count("leased_jobs", "status", status, "reason", reason)
 }
 
 // answered takes the time from a job's coming to its answer, by route and status.
-func (m *metricSet) answered(route string, a coordinator.Answer) {
+func (m *metricSet) observeAnswer(route string, a coordinator.Answer) {
 	m.set.GetOrCreateHistogram(fmt.Sprintf("lavendercleat_answer_seconds{route=%q,status=%q}", route, a.Status)).Update(a.Waited.Seconds())
 }
 
 // began takes the time from an offer's coming to the start of its task.
-func (m *metricSet) began(waited time.Duration) {
+func (m *metricSet) observeQueueTime(waited time.Duration) {
 	m.set.GetOrCreateHistogram("lavendercleat_task_queue_seconds").Update(waited.Seconds())
 }
 
-func (m *metricSet) refused(reason string) { m.count("leased_refusals", "reason", reason) }
-func (m *metricSet) kept(v AcceptanceVerdict, why coordinator.Reason) {
+func (m *metricSet) countRefusal(reason string) { m.count("leased_refusals", "reason", reason) }
+func (m *metricSet) countDurableRequest(v AcceptanceVerdict, why coordinator.Reason) {
 	m.count("kept_requests", "verdict", v.String(), "reason", string(why))
 }
-func (m *metricSet) ledgerNews(k ledger.EventKind) { m.count("kept_jobs", "news", k.String()) }
+func (m *metricSet) countLedgerEvent(k ledger.EventKind) { m.count("kept_jobs", "news", k.String()) }
 
 // entriesRead takes the age of the store's word when entries were read.
-func (m *metricSet) entriesRead(age time.Duration) {
+func (m *metricSet) observeEntriesAge(age time.Duration) {
 	m.set.GetOrCreateHistogram("lavendercleat_entries_age_seconds").Update(age.Seconds())
 }
 
-func (m *metricSet) entryInvalid(kind string) { m.count("invalid_entries", "kind", kind) }
-func (m *metricSet) storeFailed(call string)  { m.count("store_failures", "call", call) }
-func (m *metricSet) peerLost(refused bool)    { m.count("peer_losses", "refused", fmt.Sprint(refused)) }
+func (m *metricSet) countInvalidEntry(kind string) { m.count("invalid_entries", "kind", kind) }
+func (m *metricSet) countStoreFailure(call string)  { m.count("store_failures", "call", call) }
+func (m *metricSet) countPeerLoss(refused bool)    { m.count("peer_losses", "refused", fmt.Sprint(refused)) }
 
 // logEvents writes decisions about tasks and beliefs about workers.
 func (n *Node) logEvents(events []executor.Event) {
@@ -88,9 +88,9 @@
 		fields := logrus.Fields{"event": e.Name}
 		switch e.Name {
 		case executor.EventStarted:
-			n.metrics.began(e.Age)
+			n.metrics.observeQueueTime(e.Age)
 		case executor.EventCapacityReserved, coordinator.EventTaskMoves:
-			n.metrics.reservation(e.Name)
+			n.metrics.countReservation(e.Name)
 		}
 		if e.Age > 0 {
 			fields["age_ms"] = e.Age.Milliseconds()
@@ -113,7 +113,7 @@
 	if w.callerID != "" {
 		fields["request"] = w.callerID
 	}
-	n.metrics.answered(w.route, a)
+	n.metrics.observeAnswer(w.route, a)
 	if a.Status == coordinator.Completed {
 		n.log.WithFields(fields).Info()
 		return
@@ -137,6 +137,6 @@
 	}
 	n.log.WithFields(logrus.Fields{
 		"event": "job_arrived", "job": r.ID, "request": r.CallerID, "route": w.route, "tasks": tasks,
-		"patience_ms": r.WaitLimit.Milliseconds(), "configuration": n.documentVersion(),
+		"patience_ms": r.WaitLimit.Milliseconds(), "configuration": n.configurationVersion(),
 	}).Info()
 }
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -17,7 +17,7 @@
 	// followPace is the least time between watches of the store, where workers write all
 	// the time. It bounds how late a change of the configuration and a leaving worker
 	// are noticed.
-	followPace = 600 * time.Millisecond
+	followInterval = 600 * time.Millisecond
 	// followWait is how long a watch waits; with followPace and the time limit of a call
 	// it bounds how late a broken watch is noticed.
 	followWait = 700 * time.Millisecond
@@ -26,36 +26,36 @@
 	configurationWait = 1100 * time.Millisecond
 	// configurationPause bounds the calls when configurations come in quick succession.
 	configurationPause = 150 * time.Millisecond
-	storeRetry         = 250 * time.Millisecond
+	storeRetryDelay         = 250 * time.Millisecond
 	// storeLostAfter is the time without an answer after which peers are asked for news.
 	storeLostAfter = 2000 * time.Millisecond
 	// renewals is how often an entry is renewed within its time to live.
-	renewals = 3
+	renewalsPerTTL = 3
 )
 
 // documents is what the daemon knows of the configuration's source. Guarded by the
 // node's lock.
-type documents struct {
+type configurationState struct {
 	content []byte
 	// answered is when the store last answered.
-	answered time.Duration
-	catchup  registry.ConfigFetcher
-	copies   registry.CopyLimiter
+	answeredAt time.Duration
+	fetcher  registry.ConfigFetcher
+	copyLimiter   registry.CopyLimiter
 }
 
-func (d *documents) lost(now time.Duration) bool { return now-d.answered > storeLostAfter }
+func (d *configurationState) storeUnreachable(now time.Duration) bool { return now-d.answeredAt > storeLostAfter }
 
 // storeAnswered notes that the store is there.
 func (n *Node) storeAnswered() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.documents.answered = n.clock.now()
+	n.configuration.answeredAt = n.clock.now()
 }
 
 func (n *Node) storeFailed(what string, err error) {
-	n.metrics.storeFailed(what)
+	n.metrics.countStoreFailure(what)
 	n.mu.Lock()
-	n.fleet.outage = n.clock.now()
+	n.fleet.storeFailedAt = n.clock.now()
 	n.mu.Unlock()
 	n.log.WithFields(logrus.Fields{"event": "store_failed", "call": what, "error": err}).Warn()
 }
@@ -64,13 +64,13 @@
 type follower struct {
 	n *Node
 	// fleet: the feed is that of the workers.
-	fleet bool
+	entries bool
 }
 
 // Paces of the two feeds.
 var (
-	fleetPace         = registry.FollowConfig{Wait: followWait, MinInterval: followPace, RetryDelay: storeRetry}
-	configurationPace = registry.FollowConfig{Wait: configurationWait, MinInterval: configurationPause, RetryDelay: storeRetry}
+	fleetFollowConfig         = registry.FollowConfig{Wait: followWait, MinInterval: followInterval, RetryDelay: storeRetryDelay}
+	configurationFollowConfig = registry.FollowConfig{Wait: configurationWait, MinInterval: configurationPause, RetryDelay: storeRetryDelay}
 )
 
 // follow takes what one feed tells.
@@ -80,16 +80,16 @@
 
 // WaitUntilDue waits while other daemons read the workers' entries for this one.
 func (f follower) WaitUntilDue(ctx context.Context, revision int64) int64 {
-	if !f.fleet {
+	if !f.entries {
 		return revision
 	}
 	for ctx.Err() == nil {
-		known, step := f.n.pursue()
+		known, step := f.n.nextSyncStep()
 		switch step {
 		case registry.UseRelay:
-			clock.Sleep(ctx, followPace/2)
+			clock.Sleep(ctx, followInterval/2)
 		case registry.WaitForRelay:
-			clock.Sleep(ctx, 2*tickEvery)
+			clock.Sleep(ctx, 2*tickInterval)
 		case registry.ReadAll:
 			return 0
 		default:
@@ -109,7 +109,7 @@
 		}
 		shown[i.Kind][i.ID] = true
 	}
-	if f.fleet {
+	if f.entries {
 		f.n.mu.Lock()
 		for id := range f.n.fleet.daemons {
 			if !shown[registry.Daemon][id] {
@@ -123,7 +123,7 @@
 		}
 		f.n.mu.Unlock()
 	} else {
-		f.n.takeRetirements(items, revision)
+		f.n.applyAllRetirements(items, revision)
 	}
 	f.HandleChanges(registry.Changes{Items: items, Revision: revision})
 }
@@ -131,32 +131,32 @@
 // HandleChanges takes changes.
 func (f follower) HandleChanges(c registry.Changes) {
 	items := c.Items
-	if !f.fleet {
+	if !f.entries {
 		f.n.storeAnswered()
 		for _, i := range items {
 			switch {
 			case i.Kind == registry.RetiredDomain:
-				f.n.takeRetirement(i)
+				f.n.applyRetirement(i)
 			case i.Kind == registry.Configuration && !i.Deleted:
-				f.n.takeDocument(i.Content, "store")
+				f.n.applyConfiguration(i.Content, "store")
 			}
 		}
 		return
 	}
-	f.n.do(func(now time.Duration) {
-		r := &f.n.fleet.relay
+	f.n.update(func(now time.Duration) {
+		r := &f.n.fleet.sync
 		if r.root == "" {
-			f.n.documents.answered = now
+			f.n.configuration.answeredAt = now
 		}
-		r.first = r.known == 0
-		r.known = max(r.known, c.Revision)
+		r.firstRead = r.knownRevision == 0
+		r.knownRevision = max(r.knownRevision, c.Revision)
 		if !c.More {
-			r.readAt, r.knownAt, r.tookAt = now-r.rootAge, now-r.rootAge, now
-			f.n.metrics.entriesRead(r.rootAge)
+			r.storeAnsweredAt, r.upToDateAt, r.appliedAt = now-r.rootAge, now-r.rootAge, now
+			f.n.metrics.observeEntriesAge(r.rootAge)
 		}
-		r.wake()
-		f.n.takeEntries(now, items)
-		r.first = false
+		r.wakeFeeds()
+		f.n.applyEntries(now, items)
+		r.firstRead = false
 	})
 }
 
@@ -165,7 +165,7 @@
 
 // takeDocument puts a configuration in force if it is newer than the one in force: news
 // from peers and late answers never lead back.
-func (n *Node) takeDocument(content []byte, source string) {
+func (n *Node) applyConfiguration(content []byte, source string) {
 	t, err := n.platform.DecodeConfiguration(content)
 	if err != nil {
 		n.log.WithFields(logrus.Fields{"event": "configuration_invalid", "source": source, "error": err}).Error()
@@ -181,12 +181,12 @@
 	if old == nil {
 		close(n.configured)
 	}
-	n.documents.content = content
+	n.configuration.content = content
 	n.log.WithFields(logrus.Fields{"event": "configuration_in_force", "version": t.Version, "source": source}).Info()
 }
 
 // keepEntry keeps this daemon's own entry in the registry, by which peers find it.
-func (n *Node) keepEntry() {
+func (n *Node) maintainOwnEntry() {
 	content, err := proto.Marshal(&schema.Identity{
 		Address: n.self.Address.String(), Incarnation: n.self.Incarnation, Name: n.self.Name, Domain: n.self.Domain,
 		MilliCores: uint32(n.self.Weight * 1000),
@@ -207,9 +207,9 @@
 			if errors.Is(err, registry.ErrNotFound) {
 				lease = 0
 			}
-			clock.Sleep(n.ctx, 2*storeRetry)
+			clock.Sleep(n.ctx, 2*storeRetryDelay)
 			continue
 		}
-		clock.Sleep(n.ctx, n.config.EntryTTL/renewals)
+		clock.Sleep(n.ctx, n.config.EntryTTL/renewalsPerTTL)
 	}
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -9,9 +9,9 @@
 )
 
 // outside returns whether a worker is one of another cell.
-func (f *fleetView) outside(own []executor.WorkerInfo) func(id string) bool {
-	inside := make(map[string]bool, len(own))
-	for _, w := range own {
+func (f *fleetView) notIn(ownCell []executor.WorkerInfo) func(id string) bool {
+	inside := make(map[string]bool, len(ownCell))
+	for _, w := range ownCell {
 		inside[w.ID] = true
 	}
 	return func(id string) bool { return f.workers[id] != nil && !inside[id] }
@@ -19,29 +19,29 @@
 
 // taken returns those workers of this cell that are not left to their former cells any more,
 // and notes when the next one is not.
-func (f *fleetView) taken(now time.Duration, own []executor.WorkerInfo) []executor.WorkerInfo {
-	if !f.settled || f.assuming { // which cells the workers were of is not known yet
-		return own
+func (f *fleetView) withoutHandovers(now time.Duration, ownCell []executor.WorkerInfo) []executor.WorkerInfo {
+	if !f.settled || f.assumeUnlinked { // which cells the workers were of is not known yet
+		return ownCell
 	}
-	f.divideAt = 0
-	outside := f.outside(own)
+	f.reassignAt = 0
+	notInCell := f.notIn(ownCell)
 	for id, w := range f.workers {
-		if outside(id) {
-			w.stay.Update(now, false)
+		if notInCell(id) {
+			w.membership.Update(now, false)
 		}
 	}
-	return slices.DeleteFunc(own, func(i executor.WorkerInfo) bool {
-		ready, _ := f.workers[i.ID].stay.Update(now, true)
-		if ready > now && (f.divideAt == 0 || ready < f.divideAt) {
-			f.divideAt = ready
+	return slices.DeleteFunc(ownCell, func(i executor.WorkerInfo) bool {
+		ready, _ := f.workers[i.ID].membership.Update(now, true)
+		if ready > now && (f.reassignAt == 0 || ready < f.reassignAt) {
+			f.reassignAt = ready
 		}
 		return ready > now
 	})
 }
 
 // forgetStays forgets which workers have been of this cell.
-func (f *fleetView) forgetStays() {
+func (f *fleetView) resetCellMemberships() {
 	for _, w := range f.workers {
-		w.stay = fleet.CellMembership{}
+		w.membership = fleet.CellMembership{}
 	}
 }
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -16,7 +16,7 @@
 const (
 	// resendTime is the time after which callers that lost an answer have long sent their
 	// job again: the platform names 1.3 s.
-	resendTime = 5 * time.Second
+	resendPeriod = 5 * time.Second
 	// confirmTimeout bounds the look at the store before a refusal, which is to be told at
 	// once; the store answers within some milliseconds.
 	confirmTimeout = 100 * time.Millisecond
@@ -25,37 +25,37 @@
 )
 
 // keeper is the daemon's part in keeping jobs. Guarded by the node's lock.
-type keeper struct {
+type durableJobs struct {
 	ledger *ledger.Ledger
 	// callers wait for the store's word on their jobs.
-	callers map[string][]*caller
+	waitingCallers map[string][]*caller
 	states  states
 	// writes counts those under way; next is when another may go.
-	writes int
-	next   time.Duration
+	writesInFlight int
+	nextWriteAt   time.Duration
 	// used: jobs are or have been kept in this fleet.
-	used     bool
-	lookedUp time.Duration
-	looking  bool
-	heirs    heirs
-	title    titleCheck
+	inUse     bool
+	lookedUpAt time.Duration
+	lookupInFlight  bool
+	ownerWatch    ownerWatch
+	ownership    ownershipCheck
 }
 
 // caller waits for the outcome of a job's acceptance or cancellation.
 type caller struct {
 	done chan struct{}
-	news ledger.EventKind
+	event ledger.EventKind
 	// forEnd: the end is waited for, and not the acceptance.
 	forEnd bool
 }
 
-func newKeeper(self mesh.Peer, retention time.Duration) keeper {
-	return keeper{
+func newDurableJobs(self mesh.Peer, retention time.Duration) durableJobs {
+	return durableJobs{
 		ledger: ledger.New(ledger.Config{
 			Owner: self.Incarnation, OwnershipID: fmt.Sprintf("%s-%x", self.Name, self.Incarnation), Retention: retention + stateMargin,
 		}),
-		callers: make(map[string][]*caller), states: newStates(), heirs: newHeirs(),
-		title: titleCheck{wake: make(chan struct{}, 1)},
+		waitingCallers: make(map[string][]*caller), states: newStates(), ownerWatch: newOwnerWatch(),
+		ownership: ownershipCheck{wake: make(chan struct{}, 1)},
 	}
 }
 
@@ -67,14 +67,14 @@
 	defer cancel()
 	var c *caller
 	var a Acceptance
-	n.do(func(now time.Duration) { c, a = n.keepJob(now, r) })
+	n.update(func(now time.Duration) { c, a = n.addDurable(now, r) })
 	if c != nil {
-		a = acceptance(n.await(ctx, r.ID, c))
+		a = acceptance(n.awaitEvent(ctx, r.ID, c))
 	}
 	if a.Verdict == NotAccepted {
 		a = n.confirmRefusal(ctx, r.ID, a)
 	}
-	n.metrics.kept(a.Verdict, a.Reason)
+	n.metrics.countDurableRequest(a.Verdict, a.Reason)
 	n.logAcceptance(r, a)
 	return a
 }
@@ -83,11 +83,11 @@
 // another: the caller may have lost that one's answer, and would be told that the job
 // never runs. Owners tell each other what they have stored, so only a peer that was just
 // lost can have kept that to itself; without its word and the store's nothing is certain.
-func (n *Node) confirmRefusal(ctx context.Context, id string, refusal Acceptance) Acceptance {
+func (n *Node) confirmRefusal(ctx context.Context, job string, refusal Acceptance) Acceptance {
 	if refusal.Reason != coordinator.ReasonNoStore { // that one would only make the caller wait
 		ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 		defer cancel()
-		e, err := n.platform.Ledger.Get(ctx, ledger.Key{Kind: ledger.StateEntry, ID: id})
+		e, err := n.platform.Ledger.Get(ctx, ledger.Key{Kind: ledger.StateEntry, ID: job})
 		switch {
 		case err == nil && e.Revision > 0:
 			return Acceptance{Verdict: Accepted}
@@ -95,17 +95,17 @@
 			return refusal
 		}
 	}
-	if n.lostPeerLately() {
+	if n.lostPeerRecently() {
 		return Acceptance{Verdict: Uncertain, Reason: refusal.Reason}
 	}
 	return refusal
 }
 
 // lostPeerLately reports whether a peer was lost within resendTime.
-func (n *Node) lostPeerLately() bool {
+func (n *Node) lostPeerRecently() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.clock.now() < n.keeper.title.doubtUntil-doubtTime+resendTime
+	return n.clock.now() < n.durable.ownership.verifyUntil-verifyPeriod+resendPeriod
 }
 
 func acceptance(k ledger.EventKind) Acceptance {
@@ -120,94 +120,94 @@
 }
 
 // keepJob hands a new job to the ledger, or tells what is so at once. The lock is held.
-func (n *Node) keepJob(now time.Duration, r Request) (*caller, Acceptance) {
-	k := &n.keeper
+func (n *Node) addDurable(now time.Duration, r Request) (*caller, Acceptance) {
+	k := &n.durable
 	if k.states.get(r.ID) != 0 || k.ledger.Accepted(r.ID) {
 		return nil, Acceptance{Verdict: Accepted}
 	}
 	if k.ledger.Has(r.ID) {
-		return n.wait(r.ID, false), Acceptance{}
+		return n.addCaller(r.ID, false), Acceptance{}
 	}
-	refused := func(why coordinator.Reason, after time.Duration) (*caller, Acceptance) {
+	refuse := func(why coordinator.Reason, after time.Duration) (*caller, Acceptance) {
 		return nil, Acceptance{Verdict: NotAccepted, Reason: why, RetryAfter: after}
 	}
 	if n.closing.Load() {
-		return refused(coordinator.ReasonStopping, time.Second)
+		return refuse(coordinator.ReasonStopping, time.Second)
 	}
-	if n.storeAway(now) {
-		return refused(coordinator.ReasonNoStore, time.Second)
+	if n.storeFailing(now) {
+		return refuse(coordinator.ReasonNoStore, time.Second)
 	}
 	j := coordinator.Job{
 		ID: r.ID, Service: r.Route.Service, Queue: r.Route.Name, Payload: r.Payload, Steps: r.Steps, Attempts: r.Route.MaxAttempts,
 		Priority: r.Route.Priority, Stretch: r.Route.Stretch, Target: r.Route.TargetLatency, Durable: true,
 	}
 	if reason, after := n.coordinator.CheckAdmission(now, j); reason != "" {
-		return refused(reason, after)
+		return refuse(reason, after)
 	}
 	k.ledger.Add(now, ledger.Record{Job: j, Route: r.Route.Name})
-	n.useLedger()
-	return n.wait(r.ID, false), Acceptance{}
+	n.markLedgerInUse()
+	return n.addCaller(r.ID, false), Acceptance{}
 }
 
 // storeAway reports whether the store is known not to answer. Silence alone doesn't show
 // it: this process may have stood still itself, and would refuse what the store can take.
 // The lock is held.
-func (n *Node) storeAway(now time.Duration) bool {
-	return n.documents.lost(now) && n.fleet.outage > n.documents.answered
+func (n *Node) storeFailing(now time.Duration) bool {
+	return n.configuration.storeUnreachable(now) && n.fleet.storeFailedAt > n.configuration.answeredAt
 }
 
 // useLedger notes that jobs are kept in this fleet. The lock is held.
-func (n *Node) useLedger() {
-	if !n.keeper.used {
-		n.keeper.used = true
-		n.wakeHeirs()
+func (n *Node) markLedgerInUse() {
+	if !n.durable.inUse {
+		n.durable.inUse = true
+		n.wakeOwnerWatch()
 	}
 }
 
 // wait registers a caller. The lock is held.
-func (n *Node) wait(id string, forEnd bool) *caller {
+func (n *Node) addCaller(id string, forEnd bool) *caller {
 	c := &caller{done: make(chan struct{}), forEnd: forEnd}
-	n.keeper.callers[id] = append(n.keeper.callers[id], c)
+	n.durable.waitingCallers[id] = append(n.durable.waitingCallers[id], c)
 	return c
 }
 
 // await waits for news of a job; 0 when ctx ends before.
-func (n *Node) await(ctx context.Context, id string, c *caller) ledger.EventKind {
+func (n *Node) awaitEvent(ctx context.Context, id string, c *caller) ledger.EventKind {
 	select {
 	case <-c.done:
-		return c.news
+		return c.event
 	case <-ctx.Done():
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	list := n.keeper.callers[id]
-	for i, o := range list {
-		if o == c {
-			n.keeper.callers[id] = append(list[:i:i], list[i+1:]...)
+	list := n.durable.waitingCallers[id]
+	for i, other := range list {
+		if other == c {
+			n.durable.waitingCallers[id] = append(list[:i:i], list[i+1:]...)
 		}
 	}
-	if len(n.keeper.callers[id]) == 0 {
-		delete(n.keeper.callers, id)
+	if len(n.durable.waitingCallers[id]) == 0 {
+		delete(n.durable.waitingCallers, id)
 	}
-	return c.news
+	return c.event
 }
 
 // answerCallers tells callers of a job; those that wait for its end not that it is stored.
-func (n *Node) answerCallers(id string, kind ledger.EventKind) {
+func (n *Node) notifyCallers(id string, kind ledger.EventKind) {
 	var rest []*caller
-	for _, c := range n.keeper.callers[id] {
+	for _, c := range n.durable.waitingCallers[id] {
 		if kind == ledger.ProgressStored || c.forEnd && (kind == ledger.Stored || kind == ledger.TakenOver || kind == ledger.Uncertain) {
 			rest = append(rest, c)
 			continue
 		}
-		c.news = kind
+		c.event = kind
 		close(c.done)
 	}
 	if rest == nil {
-		delete(n.keeper.callers, id)
+		delete(n.durable.waitingCallers, id)
 		return
 	}
-	n.keeper.callers[id] = rest
+	n.durable.waitingCallers[id] = rest
 }
 
 // State implements Dispatcher.
@@ -215,7 +215,7 @@
 	ctx, end := n.whileServing(ctx)
 	defer end()
 	n.mu.Lock()
-	state := n.stateHere(id)
+	state := n.localState(id)
 	n.mu.Unlock()
 	if state != 0 {
 		return state, nil
@@ -232,24 +232,24 @@
 }
 
 // stateHere is the state of a job by what this daemon knows; 0: nothing. The lock is held.
-func (n *Node) stateHere(id string) ledger.State {
+func (n *Node) localState(id string) ledger.State {
 	if n.waiters[id] != nil || n.coordinator.HasStarted(id) {
 		return ledger.Running
 	}
-	if n.keeper.ledger.Has(id) {
+	if n.durable.ledger.Has(id) {
 		return ledger.Queued
 	}
-	return n.keeper.states.get(id)
+	return n.durable.states.get(id)
 }
 
 // PendingJobs implements Dispatcher.
 func (n *Node) PendingJobs(route string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	count := int(n.ownPending()[route])
-	for _, p := range n.fleet.up {
+	count := int(n.ownPendingJobs()[route])
+	for _, p := range n.fleet.peers {
 		if p.up {
-			count += int(p.pending[route])
+			count += int(p.pendingJobs[route])
 		}
 	}
 	// Those of other cells are taken to have as many.
@@ -257,11 +257,11 @@
 }
 
 // ownPending counts this daemon's kept jobs that have not begun, by queue. The lock is held.
-func (n *Node) ownPending() map[string]uint32 {
+func (n *Node) ownPendingJobs() map[string]uint32 {
 	counts := make(map[string]uint32)
 	n.coordinator.EachDurableJob(func(id string, begun bool) {
 		if !begun {
-			counts[n.keeper.ledger.Route(id)]++
+			counts[n.durable.ledger.Route(id)]++
 		}
 	})
 	return counts
@@ -273,21 +273,21 @@
 	defer end()
 	var here bool
 	var c *caller
-	n.do(func(now time.Duration) {
-		if here = n.cancelWaiting(now, id); here || !n.keeper.ledger.Has(id) {
+	n.update(func(now time.Duration) {
+		if here = n.cancelNonDurable(now, id); here || !n.durable.ledger.Has(id) {
 			return
 		}
-		n.keeper.ledger.End(now, id, ledger.Canceled)
-		c = n.wait(id, true)
+		n.durable.ledger.End(now, id, ledger.Canceled)
+		c = n.addCaller(id, true)
 	})
-	if here || c != nil && n.await(ctx, id, c) == ledger.Ended {
+	if here || c != nil && n.awaitEvent(ctx, id, c) == ledger.Ended {
 		return CancelDone
 	}
 	for ctx.Err() == nil {
 		if out, done := n.cancelStored(ctx, id); done {
 			return out
 		}
-		clock.Sleep(ctx, writePause)
+		clock.Sleep(ctx, writeRetryDelay)
 	}
 	return CancelUncertain
 }
@@ -313,8 +313,8 @@
 	if err != nil || r.Revision == 0 {
 		return 0, false
 	}
-	n.do(func(now time.Duration) {
-		n.learn(now, []ledger.Event{{Kind: ledger.Ended, Record: ledger.Record{Job: coordinator.Job{ID: id}}, State: ledger.Canceled}})
+	n.update(func(now time.Duration) {
+		n.applyLedgerEvents(now, []ledger.Event{{Kind: ledger.Ended, Record: ledger.Record{Job: coordinator.Job{ID: id}}, State: ledger.Canceled}})
 	})
 	return CancelDone, true
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -58,7 +58,7 @@
 }
 
 // tickEvery is the time between two looks at deadlines. Shorter ones cost wake-ups.
-const tickEvery = 25 * time.Millisecond
+const tickInterval = 25 * time.Millisecond
 
 // Node is the daemon.
 type Node struct {
@@ -75,14 +75,14 @@
 	wg     sync.WaitGroup
 	// serving ends when callers that still wait have to be answered, at a planned stop.
 	serving    context.Context
-	endService context.CancelFunc
+	stopServing context.CancelFunc
 
 	table atomic.Pointer[routing.Table]
 	// configured is closed with the first configuration.
 	configured chan struct{}
 	stopping   atomic.Bool
 	// placed: it is known which cell this daemon is of, or can't be known.
-	placed   atomic.Bool
+	cellResolved   atomic.Bool
 	arbiters arbiters
 	// closing: no more jobs are accepted to be kept.
 	closing atomic.Bool
@@ -91,19 +91,19 @@
 	executor    *executor.Executor
 	coordinator *coordinator.Coordinator
 	starts      *arbiter.Client
-	clearances  clearances
+	quiescence  quiescenceChecks
 	waiters     map[string]*waiter
 	// ownRooms is the list that ownHolder tells its rooms in.
-	ownRooms  []executor.WorkerCapacity
+	ownCapacity  []executor.WorkerCapacity
 	fleet     fleetView
-	documents documents
-	keeper    keeper
+	configuration configurationState
+	durable    durableJobs
 	// lastDo is when the state machines were last run.
-	lastDo time.Duration
+	lastUpdateAt time.Duration
 	// awakeAt is when this process went on after it had stood still; 0: it never did.
-	awakeAt time.Duration
+	resumedAt time.Duration
 	// sweepAt is when to look next at what the arbiter may forget.
-	sweepAt time.Duration
+	arbiterSweepAt time.Duration
 }
 
 // New returns a daemon that listens for peers and does nothing yet.
@@ -117,15 +117,15 @@
 	n.coordinator = coordinator.New(n.self.Process)
 	n.arbiters.Arbiter, n.starts = arbiter.New(), arbiter.NewClient(n.self.Process, (*startView)(n))
 	n.fleet = newFleetView()
-	n.fleet.relay.copies.Mbps, n.documents.copies.Mbps = c.LinkMbps, c.LinkMbps
-	n.clearances = newClearances()
-	n.keeper = newKeeper(n.self, c.Retention)
+	n.fleet.sync.copyLimiter.Mbps, n.configuration.copyLimiter.Mbps = c.LinkMbps, c.LinkMbps
+	n.quiescence = newQuiescenceChecks()
+	n.durable = newDurableJobs(n.self, c.Retention)
 	var err error
 	if n.mesh, err = mesh.New(n.self, c.Listen, (*peerHandler)(n)); err != nil {
 		return nil, err
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.serving, n.endService = context.WithCancel(context.Background())
+	n.serving, n.stopServing = context.WithCancel(context.Background())
 	return n, nil
 }
 
@@ -143,13 +143,13 @@
 // Start begins to serve.
 func (n *Node) Start(context.Context) error {
 	n.mesh.Start()
-	n.wg.Go(n.findPeers)
-	n.wg.Go(n.ticks)
-	n.wg.Go(func() { n.follow(n.platform.Configuration, configurationPace, false) })
-	n.wg.Go(func() { n.follow(newCellFeed(n), fleetPace, true) })
-	n.wg.Go(n.keepEntry)
-	n.wg.Go(n.inherit)
-	n.wg.Go(n.verifyTitle)
+	n.wg.Go(n.linkDaemons)
+	n.wg.Go(n.runTicks)
+	n.wg.Go(func() { n.follow(n.platform.Configuration, configurationFollowConfig, false) })
+	n.wg.Go(func() { n.follow(newCellFeed(n), fleetFollowConfig, true) })
+	n.wg.Go(n.maintainOwnEntry)
+	n.wg.Go(n.watchOwners)
+	n.wg.Go(n.verifyOwnership)
 	n.log.WithFields(logrus.Fields{
 		"event": "started", "name": n.self.Name, "domain": n.self.Domain, "incarnation": n.self.Incarnation, "address": n.self.Address,
 	}).Info()
@@ -161,16 +161,16 @@
 func (n *Node) Drain(ctx context.Context) {
 	n.stopping.Store(true)
 	n.log.WithField("event", "stopping").Info()
-	n.do(n.divideWorkers)
+	n.update(n.assignWorkers)
 	clock.Sleep(ctx, n.config.StopDelay)
 	n.closing.Store(true)
 	bounded, cancel := context.WithTimeout(ctx, n.config.StopTimeout)
 	defer cancel()
-	n.drain(bounded)
-	n.resign(ctx)
+	n.awaitJobs(bounded)
+	n.removeOwnOwnership(ctx)
 	// Callers on open connections still come meanwhile; each of them is answered in full.
-	n.drain(bounded)
-	n.endService()
+	n.awaitJobs(bounded)
+	n.stopServing()
 	n.answerAll()
 }
 
@@ -184,7 +184,7 @@
 
 // Close ends the daemon.
 func (n *Node) Close() {
-	n.endService()
+	n.stopServing()
 	n.cancel()
 	n.mesh.Close()
 	n.wg.Wait()
@@ -192,19 +192,19 @@
 }
 
 // drain waits for the jobs in flight until ctx ends.
-func (n *Node) drain(ctx context.Context) {
-	for ctx.Err() == nil && n.jobs() > 0 {
-		clock.Sleep(ctx, tickEvery)
+func (n *Node) awaitJobs(ctx context.Context) {
+	for ctx.Err() == nil && n.jobCount() > 0 {
+		clock.Sleep(ctx, tickInterval)
 	}
 }
 
 // answerAll ends what callers still wait for: a job that is too long for the grace time
 // gets an answer all the same. Jobs that come later are refused.
 func (n *Node) answerAll() {
-	n.do(func(now time.Duration) {
+	n.update(func(now time.Duration) {
 		for id := range n.waiters {
 			n.coordinator.Cancel(now, id)
-			n.answered(coordinator.Answer{Job: id, Status: coordinator.GivenUp, Reason: coordinator.ReasonStopping})
+			n.handleJobAnswer(coordinator.Answer{Job: id, Status: coordinator.GivenUp, Reason: coordinator.ReasonStopping})
 		}
 	})
 }
@@ -212,14 +212,14 @@
 // Stopping reports whether a planned stop is under way.
 func (n *Node) Stopping() bool { return n.stopping.Load() }
 
-func (n *Node) jobs() int {
+func (n *Node) jobCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.waiters) + n.keeper.ledger.Len()
+	return len(n.waiters) + n.durable.ledger.Len()
 }
 
-func (n *Node) ticks() {
-	t := time.NewTicker(tickEvery)
+func (n *Node) runTicks() {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -230,84 +230,84 @@
 		if jump := n.clock.sync(); jump > 0 {
 			n.log.WithFields(logrus.Fields{"event": "suspended", "for": jump}).Warn()
 		}
-		n.do(func(now time.Duration) {
+		n.update(func(now time.Duration) {
 			n.fleetTick(now)
-			n.catchUp(now)
+			n.requestNewerConfiguration(now)
 			n.executor.Tick(now)
 			n.coordinator.Tick(now)
 			n.startsTick(now)
-			n.keeperTick(now)
+			n.durableTick(now)
 		})
 	}
 }
 
 // do runs f on the state machines and carries out what comes of it.
-func (n *Node) do(f func(now time.Duration)) {
+func (n *Node) update(f func(now time.Duration)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock.now()
-	n.noticeGap(now)
-	n.coordinator.UpdateExecutor(n.ownHolder(now))
+	n.detectGap(now)
+	n.coordinator.UpdateExecutor(n.ownExecutor(now))
 	f(now)
-	for n.route(now) {
+	for n.applyOutputs(now) {
 	}
-	n.flush(now)
+	n.startWrites(now)
 }
 
 // ownHolder is what this daemon's executor has left.
-func (n *Node) ownHolder(now time.Duration) coordinator.ExecutorState {
+func (n *Node) ownExecutor(now time.Duration) coordinator.ExecutorState {
 	// The list is used again, as it is told at each event. The coordinator keeps only what it was
 	// told last.
-	n.ownRooms = n.executor.AppendWorkerCapacities(n.ownRooms[:0], now)
+	n.ownCapacity = n.executor.AppendWorkerCapacities(n.ownCapacity[:0], now)
 	return coordinator.ExecutorState{
-		Process: n.self.Process, Domain: n.self.Domain, Workers: n.ownRooms, Backlog: n.executor.Backlog(now), ReportedAt: now,
+		Process: n.self.Process, Domain: n.self.Domain, Workers: n.ownCapacity, Backlog: n.executor.Backlog(now), ReportedAt: now,
 	}
 }
 
 // route carries out the outputs of both state machines; false when there were none.
-func (n *Node) route(now time.Duration) bool {
+func (n *Node) applyOutputs(now time.Duration) bool {
 	c, e := n.coordinator.Drain(), n.executor.Drain()
 	n.logEvents(c.Events)
 	n.logEvents(e.Events)
 	for _, m := range c.Messages {
-		n.toExecutor(now, m)
+		n.sendToExecutor(now, m)
 	}
 	for _, a := range c.Answers {
-		n.answered(a)
+		n.handleJobAnswer(a)
 	}
 	for _, id := range c.ProgressChanged {
-		n.progressed(now, id)
+		n.updateProgress(now, id)
 	}
 	for _, id := range c.Stopped {
 		n.starts.ConfirmStopped(now, id)
 	}
 	for _, call := range e.Calls {
 		if n.ctx.Err() == nil { // at the end orders would fail at once, and ask for the next
-			n.wg.Go(func() { n.order(call) })
+			n.wg.Go(func() { n.sendOrder(call) })
 		}
 	}
 	for _, id := range e.DroppedWorkers {
 		n.platform.Workers.Forget(id)
 	}
-	n.toCoordinators(now, e.Reports)
+	n.sendReports(now, e.Reports)
 	for _, t := range e.Takeovers {
-		n.askOwners(now, t)
+		n.requestClaims(now, t)
 	}
 	if len(e.JobsToLookUp) > 0 {
-		n.lookUpEnds(now, e.JobsToLookUp)
+		n.lookUpJobStates(now, e.JobsToLookUp)
 	}
-	decided := n.routeStarts(now)
+	decided := n.applyStartOutputs(now)
 	return decided || len(c.Messages)+len(e.Reports)+len(e.Takeovers)+len(e.Calls) > 0
 }
 
 // order sends one order to a worker.
-func (n *Node) order(c executor.Call) {
+func (n *Node) sendOrder(c executor.Call) {
 	a := n.platform.Workers.Do(n.ctx, c)
-	n.metrics.ordered(c.Kind, a.Verdict)
-	n.do(func(now time.Duration) { n.executor.HandleAnswer(now, c, a) })
+	n.metrics.countOrder(c.Kind, a.Verdict)
+	n.update(func(now time.Duration) { n.executor.HandleAnswer(now, c, a) })
 }
 
-func (n *Node) toExecutor(now time.Duration, m coordinator.Message) {
+func (n *Node) sendToExecutor(now time.Duration, m coordinator.Message) {
 	if m.To != n.self.Process {
 		n.mesh.Send(m.To, messageToWire(now, m))
 		return
@@ -336,11 +336,11 @@
 	}
 }
 
-func (n *Node) toCoordinators(now time.Duration, reports []executor.OwnedReport) {
+func (n *Node) sendReports(now time.Duration, reports []executor.OwnedReport) {
 	remote := make(map[member.Process]*schema.Reports)
 	for _, r := range reports {
 		if r.Outcome != 0 && r.Reason != executor.ReasonReserved {
-			n.metrics.reported(r.Outcome)
+			n.metrics.countReport(r.Outcome)
 		}
 		if r.Owner == n.self.Process {
 			n.coordinator.HandleReport(now, n.self.Process, r.Report)
@@ -359,7 +359,7 @@
 }
 
 // askOwners asks all coordinators for the runs of a worker that was taken over.
-func (n *Node) askOwners(now time.Duration, t executor.Takeover) {
+func (n *Node) requestClaims(now time.Duration, t executor.Takeover) {
 	if t.To == n.self.Process {
 		n.coordinator.HandleTakeover(now, n.self.Process, t)
 		return
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -30,14 +30,14 @@
 // workers and the answers to other daemons fill too: 0.25 s after a kill of all daemons, when
 // callers come from everywhere. Refused they would not come back. The bound is that of a
 // job's wait for the first worker: a longer wait would make most of them late.
-const firstTableWait = 700 * time.Millisecond
+const firstTableTimeout = 700 * time.Millisecond
 
 // Table implements Dispatcher.
 func (n *Node) Table() *routing.Table { return n.table.Load() }
 
 // AwaitTable implements Dispatcher.
 func (n *Node) AwaitTable(ctx context.Context) *routing.Table {
-	t := time.NewTimer(max(firstTableWait-n.clock.now(), 0))
+	t := time.NewTimer(max(firstTableTimeout-n.clock.now(), 0))
 	defer t.Stop()
 	select {
 	case <-n.configured:
@@ -50,18 +50,18 @@
 
 // wakeWait is how long new requests wait after this process has stood still: by then the
 // server has noticed which callers have hung up meanwhile, as their connections end.
-const wakeWait = 100 * time.Millisecond
+const resumeWait = 100 * time.Millisecond
 
 // awaitCaller waits after a standstill. A request that was sent before it may be read now,
 // seconds later, when its caller has given up and sent it to another daemon: it would be
 // started at both. It reports whether the caller is still there.
-func (n *Node) awaitCaller(ctx context.Context) bool {
+func (n *Node) callerStillThere(ctx context.Context) bool {
 	n.clock.sync()
 	n.mu.Lock()
 	now := n.clock.now()
-	n.noticeGap(now)
-	wait := wakeWait - (now - n.awakeAt)
-	if n.awakeAt == 0 {
+	n.detectGap(now)
+	wait := resumeWait - (now - n.resumedAt)
+	if n.resumedAt == 0 {
 		wait = 0
 	}
 	n.mu.Unlock()
@@ -73,8 +73,8 @@
 
 // Run implements Dispatcher.
 func (n *Node) Run(ctx context.Context, r Request) coordinator.Answer {
-	if !n.awaitCaller(ctx) {
-		n.metrics.ended("caller_left", "")
+	if !n.callerStillThere(ctx) {
+		n.metrics.countJob("caller_left", "")
 		return coordinator.Answer{Job: r.ID, Status: coordinator.Refused, Reason: coordinator.ReasonCanceled, RetryAfter: time.Second}
 	}
 	w := n.join(r)
@@ -93,7 +93,7 @@
 // is none: whoever waited then would be cut off with the process.
 func (n *Node) join(r Request) *waiter {
 	var w *waiter
-	n.do(func(now time.Duration) {
+	n.update(func(now time.Duration) {
 		if w = n.waiters[r.ID]; w != nil {
 			w.callers++
 			n.logCaller("caller_joined", now, w)
@@ -116,41 +116,41 @@
 
 // leave takes a caller off a job; with the last one, here and elsewhere, the job is canceled.
 func (n *Node) leave(w *waiter) {
-	n.do(func(now time.Duration) {
+	n.update(func(now time.Duration) {
 		w.callers--
 		n.logCaller("caller_left", now, w)
-		n.endUnwanted(now, w)
+		n.cancelUnwanted(now, w)
 	})
 }
 
 // answered hands an answer to the callers. The lock is held.
-func (n *Node) answered(a coordinator.Answer) {
+func (n *Node) handleJobAnswer(a coordinator.Answer) {
 	w := n.waiters[a.Job]
 	if w == nil {
-		n.endKept(n.clock.now(), a)
+		n.endDurable(n.clock.now(), a)
 		return
 	}
 	delete(n.waiters, a.Job)
 	w.answer = a
 	close(w.done)
-	n.metrics.ended(a.Status.String(), string(a.Reason))
+	n.metrics.countJob(a.Status.String(), string(a.Reason))
 	n.logAnswer(w, a)
-	n.startEnded(n.clock.now(), a)
+	n.notifyRemoteWaiters(n.clock.now(), a)
 }
 
 // cancelWaiting ends a job that is not kept and reports whether there was one. The lock
 // is held.
-func (n *Node) cancelWaiting(now time.Duration, id string) bool {
+func (n *Node) cancelNonDurable(now time.Duration, id string) bool {
 	if n.waiters[id] == nil {
 		return false
 	}
 	n.coordinator.Cancel(now, id)
-	n.answered(coordinator.Answer{Job: id, Status: coordinator.GivenUp, Reason: coordinator.ReasonCanceled})
+	n.handleJobAnswer(coordinator.Answer{Job: id, Status: coordinator.GivenUp, Reason: coordinator.ReasonCanceled})
 	return true
 }
 
 // CountRefusal implements Dispatcher.
-func (n *Node) CountRefusal(r Refusal) { n.metrics.refused(string(r)) }
+func (n *Node) CountRefusal(r Refusal) { n.metrics.countRefusal(string(r)) }
 
 // AddSeeds adds addresses of peers.
 func (n *Node) AddSeeds(seeds []netip.AddrPort) { n.mesh.AddPeers(seeds...) }
--- a/internal/node/share.go
+++ b/internal/node/share.go
@@ -12,28 +12,28 @@
 
 // catchUp asks a peer for its configuration, if it is newer and the store doesn't give it
 // in time. The lock is held.
-func (n *Node) catchUp(now time.Duration) {
-	has := n.documentVersion()
-	if n.fleet.newestDocument() <= has {
-		n.documents.catchup.NextSource(now, n.self.Process, has, false, nil)
+func (n *Node) requestNewerConfiguration(now time.Duration) {
+	has := n.configurationVersion()
+	if n.fleet.newestConfiguration() <= has {
+		n.configuration.fetcher.NextSource(now, n.self.Process, has, false, nil)
 		return
 	}
 	var peers []registry.ConfigSource
-	for _, k := range n.fleet.up {
+	for _, k := range n.fleet.peers {
 		if k.up {
-			peers = append(peers, registry.ConfigSource{Process: k.Process, Version: k.documentVersion, SameDomain: k.Domain == n.self.Domain})
+			peers = append(peers, registry.ConfigSource{Process: k.Process, Version: k.configurationVersion, SameDomain: k.Domain == n.self.Domain})
 		}
 	}
-	to, ok := n.documents.catchup.NextSource(now, n.self.Process, has, n.documents.lost(now), peers)
+	to, ok := n.configuration.fetcher.NextSource(now, n.self.Process, has, n.configuration.storeUnreachable(now), peers)
 	if !ok {
 		return
 	}
-	n.log.WithFields(logrus.Fields{"event": "configuration_asked_for", "peer": n.fleet.up[to.Address].Name, "version": has}).Info()
+	n.log.WithFields(logrus.Fields{"event": "configuration_asked_for", "peer": n.fleet.peers[to.Address].Name, "version": has}).Info()
 	n.mesh.Send(to, &schema.Frame{Body: &schema.Frame_DocumentRequest{DocumentRequest: &schema.DocumentRequest{Version: has}}})
 }
 
 // documentVersion is that of the configuration in force; 0 before the first.
-func (n *Node) documentVersion() uint64 {
+func (n *Node) configurationVersion() uint64 {
 	if t := n.table.Load(); t != nil {
 		return t.Version
 	}
@@ -41,11 +41,11 @@
 }
 
 // newestDocument is the newest version that a peer has told.
-func (f *fleetView) newestDocument() uint64 {
+func (f *fleetView) newestConfiguration() uint64 {
 	var newest uint64
-	for _, k := range f.up {
+	for _, k := range f.peers {
 		if k.up {
-			newest = max(newest, k.documentVersion)
+			newest = max(newest, k.configurationVersion)
 		}
 	}
 	return newest
@@ -53,22 +53,22 @@
 
 // documentAsked sends the configuration to a peer that has an older one. One that gets
 // none asks elsewhere. The lock is held.
-func (n *Node) documentAsked(now time.Duration, p mesh.Peer, r *schema.DocumentRequest) {
+func (n *Node) handleConfigurationRequest(now time.Duration, p mesh.Peer, r *schema.DocumentRequest) {
 	t := n.table.Load()
-	if t == nil || r.GetVersion() >= t.Version || !n.documents.copies.Allow(now, len(n.documents.content)) {
+	if t == nil || r.GetVersion() >= t.Version || !n.configuration.copyLimiter.Allow(now, len(n.configuration.content)) {
 		return
 	}
 	n.mesh.Send(p.Process, &schema.Frame{Body: &schema.Frame_Document{Document: &schema.Document{
-		Version: t.Version, Content: n.documents.content,
+		Version: t.Version, Content: n.configuration.content,
 	}}})
 }
 
 // documentCame takes a copy of a peer's configuration.
-func (n *Node) documentCame(p mesh.Peer, d *schema.Document) {
+func (n *Node) handleConfiguration(p mesh.Peer, d *schema.Document) {
 	n.mu.Lock()
-	n.documents.catchup.HandleCopy()
+	n.configuration.fetcher.HandleCopy()
 	n.mu.Unlock()
-	if d.GetVersion() > n.documentVersion() {
-		n.takeDocument(d.GetContent(), "peer "+p.Name)
+	if d.GetVersion() > n.configurationVersion() {
+		n.applyConfiguration(d.GetContent(), "peer "+p.Name)
 	}
 }
--- a/internal/node/starts.go
+++ b/internal/node/starts.go
@@ -26,7 +26,7 @@
 	// that has stood still, and lost all of its links, waits for them as long.
 	arbiterGrace = 800 * time.Millisecond
 	// sweepPace is the time between looks at what an arbiter may forget.
-	sweepPace = time.Second
+	arbiterSweepInterval = time.Second
 )
 
 // arbiters is the daemon's part as an arbiter of others' jobs. It has a lock of its own, as a
@@ -65,13 +65,13 @@
 		return nil
 	}
 	var list []fleet.Member
-	for _, k := range n.fleet.up {
+	for _, k := range n.fleet.peers {
 		if k.up && !k.leaving {
 			list = append(list, fleet.Member{Process: k.Process, Weight: k.Weight})
 		}
 	}
-	for p, l := range n.clearances.lost {
-		if k := n.fleet.up[p.Address]; now-l.at < arbiterGrace && (k == nil || !k.up) {
+	for p, l := range n.quiescence.unreachable {
+		if k := n.fleet.peers[p.Address]; now-l.since < arbiterGrace && (k == nil || !k.up) {
 			list = append(list, fleet.Member{Process: p, Weight: l.weight})
 		}
 	}
@@ -84,13 +84,13 @@
 // Reachable implements arbiter.View.
 func (v *startView) Reachable(p member.Process) bool {
 	n := (*Node)(v)
-	k := n.fleet.up[p.Address]
+	k := n.fleet.peers[p.Address]
 	return p == n.self.Process || k != nil && k.up && k.Incarnation == p.Incarnation
 }
 
 // routeStarts carries out what was decided about starts; false when there was nothing. The lock
 // is held.
-func (n *Node) routeStarts(now time.Duration) bool {
+func (n *Node) applyStartOutputs(now time.Duration) bool {
 	o := n.starts.Drain()
 	for _, h := range o.HeldElsewhere {
 		n.metrics.count("jobs_held_elsewhere", "holder_in_sight", strconv.FormatBool(h.Reachable))
@@ -98,7 +98,7 @@
 	}
 	for _, m := range o.Messages {
 		if m.To == n.self.Process {
-			n.takeStart(now, n.self.Process, startToWire(m))
+			n.applyStartFrame(now, n.self.Process, startToWire(m))
 		} else {
 			n.mesh.Send(m.To, startToWire(m))
 		}
@@ -111,21 +111,21 @@
 		n.metrics.count("jobs_revoked")
 		n.starts.Revoke(id)
 		n.coordinator.Cancel(now, id)
-		n.closeIfOver(now, id)
+		n.closeIfStopped(now, id)
 	}
 	for _, e := range o.Expired {
 		a := coordinator.Answer{Job: e.Job, Status: coordinator.Refused, Reason: coordinator.ReasonNotGranted, RetryAfter: time.Second}
 		if e.MayHaveRun {
 			a.Status = coordinator.GivenUp
 		}
-		n.answered(a)
+		n.handleJobAnswer(a)
 	}
 	for _, p := range o.QuiescenceChecks {
-		n.wantCleared(now, p)
+		n.startQuiescenceCheck(now, p)
 	}
 	for _, id := range o.WaiterUnreachable {
 		if w := n.waiters[id]; w != nil {
-			n.endUnwanted(now, w)
+			n.cancelUnwanted(now, w)
 		}
 	}
 	return len(o.Messages)+len(o.Start)+len(o.Revoked)+len(o.Expired)+len(o.WaiterUnreachable) > 0
@@ -143,49 +143,49 @@
 }
 
 // endUnwanted ends a job that nobody waits for any more, here or elsewhere.
-func (n *Node) endUnwanted(now time.Duration, w *waiter) {
+func (n *Node) cancelUnwanted(now time.Duration, w *waiter) {
 	if w.callers > 0 || n.starts.HasWaiters(w.id) || n.waiters[w.id] != w {
 		return
 	}
 	delete(n.waiters, w.id)
 	n.coordinator.Cancel(now, w.id)
-	n.metrics.ended("caller_left", "")
+	n.metrics.countJob("caller_left", "")
 	n.starts.Abandon(w.id)
-	n.closeIfOver(now, w.id)
+	n.closeIfStopped(now, w.id)
 }
 
 // startEnded tells those that wait for a job elsewhere of its answer. A job that was not brought
 // to its end here is left to them once nothing of it runs.
-func (n *Node) startEnded(now time.Duration, a coordinator.Answer) {
-	over := !n.coordinator.IsStopping(a.Job)
+func (n *Node) notifyRemoteWaiters(now time.Duration, a coordinator.Answer) {
+	stopped := !n.coordinator.IsStopping(a.Job)
 	if a.Status != coordinator.Completed && a.Status != coordinator.TaskFailed {
 		n.starts.Abandon(a.Job)
-		n.closeIfOver(now, a.Job)
+		n.closeIfStopped(now, a.Job)
 		return
 	}
-	for _, p := range n.starts.Complete(a.Job, over) {
-		n.mesh.Send(p, newsToWire(a.Job, a.Status))
+	for _, p := range n.starts.Complete(a.Job, stopped) {
+		n.mesh.Send(p, jobUpdateToWire(a.Job, a.Status))
 	}
 }
 
 // closeIfOver tells arbiters and those that wait that nothing of the job runs here.
-func (n *Node) closeIfOver(now time.Duration, id string) {
+func (n *Node) closeIfStopped(now time.Duration, id string) {
 	if !n.coordinator.IsStopping(id) {
 		n.starts.ConfirmStopped(now, id)
 	}
 }
 
 // startReceived takes a frame about who may start a job.
-func (n *Node) startReceived(p mesh.Peer, f *schema.Frame) {
+func (n *Node) handleStartFrame(p mesh.Peer, f *schema.Frame) {
 	if q := f.GetStartQuestion(); q != nil {
-		n.judgeStart(n.clock.now(), p.Process, q) // it needs nothing but the arbiter's memory
+		n.answerStartQuery(n.clock.now(), p.Process, q) // it needs nothing but the arbiter's memory
 		return
 	}
-	n.from(p, func(now time.Duration) { n.takeStart(now, p.Process, f) })
+	n.fromPeer(p, func(now time.Duration) { n.applyStartFrame(now, p.Process, f) })
 }
 
 // judgeStart answers a question as an arbiter and returns the verdict on this daemon's own.
-func (n *Node) judgeStart(now time.Duration, from member.Process, q *schema.StartQuestion) (own *schema.Frame) {
+func (n *Node) answerStartQuery(now time.Duration, from member.Process, q *schema.StartQuestion) (own *schema.Frame) {
 	job := q.GetJob()
 	if q.GetReleased() {
 		n.arbiters.release(job, arbiter.Attempt{Process: from, Number: q.GetTry()})
@@ -193,7 +193,7 @@
 	}
 	v, displaced := n.arbiters.ask(now, arbiter.GrantRequest{
 		Job: job, From: arbiter.Attempt{Process: from, Number: q.GetTry()}, GrantDuration: ms(q.GetHoldMs()),
-		NotRunning: tryFromWire(q.GetOverAddress(), q.GetOverIncarnation(), q.GetOverTry()),
+		NotRunning: attemptFromWire(q.GetOverAddress(), q.GetOverIncarnation(), q.GetOverTry()),
 	})
 	if displaced.Address.IsValid() {
 		n.mesh.Send(displaced, verdictToWire(job, arbiter.Verdict{Holder: arbiter.Attempt{Process: from, Number: q.GetTry()}}))
@@ -206,16 +206,16 @@
 }
 
 // takeStart takes a frame about who may start a job. The lock is held.
-func (n *Node) takeStart(now time.Duration, from member.Process, f *schema.Frame) {
+func (n *Node) applyStartFrame(now time.Duration, from member.Process, f *schema.Frame) {
 	switch b := f.GetBody().(type) {
 	case *schema.Frame_StartQuestion:
-		if own := n.judgeStart(now, from, b.StartQuestion); own != nil {
-			n.takeStart(now, n.self.Process, own)
+		if own := n.answerStartQuery(now, from, b.StartQuestion); own != nil {
+			n.applyStartFrame(now, n.self.Process, own)
 		}
 	case *schema.Frame_StartVerdict:
 		v := b.StartVerdict
 		n.starts.HandleVerdict(now, from, v.GetJob(), arbiter.Verdict{
-			Granted: v.GetGranted(), Holder: tryFromWire(v.GetHolderAddress(), v.GetHolderIncarnation(), v.GetHolderTry()),
+			Granted: v.GetGranted(), Holder: attemptFromWire(v.GetHolderAddress(), v.GetHolderIncarnation(), v.GetHolderTry()),
 		})
 	case *schema.Frame_JobInquiry:
 		job := b.JobInquiry.GetJob()
@@ -224,52 +224,52 @@
 			return
 		}
 		if w := n.waiters[job]; n.starts.HandleCancelQuery(from, job) && w != nil {
-			n.endUnwanted(now, w)
+			n.cancelUnwanted(now, w)
 		}
 	case *schema.Frame_JobNews:
-		n.newsReceived(now, from, b.JobNews)
+		n.handleJobUpdate(now, from, b.JobNews)
 	case *schema.Frame_CoordinatorInquiry:
-		n.clearanceAsked(now, from, processFromWire(b.CoordinatorInquiry.GetAddress(), b.CoordinatorInquiry.GetIncarnation()))
+		n.handleQuiescenceRequest(now, from, processFromWire(b.CoordinatorInquiry.GetAddress(), b.CoordinatorInquiry.GetIncarnation()))
 	case *schema.Frame_CoordinatorCleared:
 		p := processFromWire(b.CoordinatorCleared.GetAddress(), b.CoordinatorCleared.GetIncarnation())
 		if b.CoordinatorCleared.GetBack() {
-			n.clearanceTakenBack(from, p)
+			n.handleQuiescenceRevoked(from, p)
 			return
 		}
-		n.clearedBy(from, p)
+		n.handleQuiescent(from, p)
 	}
 }
 
 // newsReceived takes a holder's word on a job: its answer, or that nothing of it runs there.
-func (n *Node) newsReceived(now time.Duration, from member.Process, news *schema.JobNews) {
-	job, status := news.GetJob(), coordinator.Status(news.GetStatus())
+func (n *Node) handleJobUpdate(now time.Duration, from member.Process, update *schema.JobNews) {
+	job, status := update.GetJob(), coordinator.Status(update.GetStatus())
 	if status == 0 {
-		n.starts.HandleNotRunning(now, from, job, news.GetTry())
+		n.starts.HandleNotRunning(now, from, job, update.GetTry())
 		return
 	}
 	if w := n.waiters[job]; w != nil && n.starts.WaitsFor(from, job) {
-		n.answered(coordinator.Answer{Job: job, Status: status, Waited: now - w.since})
+		n.handleJobAnswer(coordinator.Answer{Job: job, Status: status, Waited: now - w.since})
 	}
 }
 
 // startsLost notes that a peer is out of sight. The lock is held.
-func (n *Node) startsLost(now time.Duration, p mesh.Peer) {
-	n.clearances.peerLost(now, p)
+func (n *Node) startsPeerUnreachable(now time.Duration, p mesh.Peer) {
+	n.quiescence.peerUnreachable(now, p)
 	n.starts.HandleUnreachable(now, p.Process)
 }
 
 // startsFound notes that a peer is in sight. The lock is held.
-func (n *Node) startsFound(now time.Duration, p member.Process) {
+func (n *Node) startsPeerUp(now time.Duration, p member.Process) {
 	n.starts.HandleReachable(now, p)
-	n.clearanceFound(now, p)
+	n.quiescencePeerUp(now, p)
 }
 
 // startsTick lets time pass. The lock is held.
 func (n *Node) startsTick(now time.Duration) {
 	n.starts.Tick(now)
-	n.clearancesTick(now)
-	if now >= n.sweepAt {
-		n.sweepAt = now + sweepPace
+	n.quiescenceTick(now)
+	if now >= n.arbiterSweepAt {
+		n.arbiterSweepAt = now + arbiterSweepInterval
 		n.arbiters.sweep(now)
 	}
 }
@@ -278,8 +278,8 @@
 	switch {
 	case m.Request != nil:
 		q := &schema.StartQuestion{Job: m.Request.Job, HoldMs: m.Request.GrantDuration.Milliseconds(), Try: m.Request.From.Number}
-		if over := m.Request.NotRunning; over.Process.Address.IsValid() {
-			q.OverAddress, q.OverIncarnation, q.OverTry = over.Process.Address.String(), over.Process.Incarnation, over.Number
+		if notRunning := m.Request.NotRunning; notRunning.Process.Address.IsValid() {
+			q.OverAddress, q.OverIncarnation, q.OverTry = notRunning.Process.Address.String(), notRunning.Process.Incarnation, notRunning.Number
 		}
 		return &schema.Frame{Body: &schema.Frame_StartQuestion{StartQuestion: q}}
 	case m.Release != "":
@@ -301,11 +301,11 @@
 	return &schema.Frame{Body: &schema.Frame_StartVerdict{StartVerdict: out}}
 }
 
-func newsToWire(job string, s coordinator.Status) *schema.Frame {
+func jobUpdateToWire(job string, s coordinator.Status) *schema.Frame {
 	return &schema.Frame{Body: &schema.Frame_JobNews{JobNews: &schema.JobNews{Job: job, Status: uint32(s)}}}
 }
 
-func tryFromWire(address string, incarnation, number uint64) arbiter.Attempt {
+func attemptFromWire(address string, incarnation, number uint64) arbiter.Attempt {
 	return arbiter.Attempt{Process: processFromWire(address, incarnation), Number: number}
 }
 
--- a/internal/node/states.go
+++ b/internal/node/states.go
@@ -20,10 +20,10 @@
 type states struct {
 	byJob map[string]knownState
 	// order lists what was told, oldest first, repetitions too.
-	order []toldState
+	order []reportedState
 }
 
-type toldState struct {
+type reportedState struct {
 	job string
 	at  time.Duration
 }
@@ -33,7 +33,7 @@
 // put takes a state and forgets those that are older than keep, and the oldest beyond maxStates.
 func (s *states) put(job string, k knownState, keep time.Duration) {
 	s.byJob[job] = k
-	s.order = append(s.order, toldState{job, k.at})
+	s.order = append(s.order, reportedState{job, k.at})
 	for len(s.order) > maxStates || len(s.order) > 0 && k.at-s.order[0].at > keep {
 		if old := s.order[0]; s.byJob[old.job].at == old.at {
 			delete(s.byJob, old.job)
--- a/internal/node/writes.go
+++ b/internal/node/writes.go
@@ -23,49 +23,49 @@
 	// number of jobs, and they are of different jobs, so they don't disturb each other.
 	maxWrites = 4
 	// writePause is the pause after a write that failed.
-	writePause = 100 * time.Millisecond
+	writeRetryDelay = 100 * time.Millisecond
 )
 
 // progressed hands the progress of a kept job to the ledger.
-func (n *Node) progressed(now time.Duration, id string) {
+func (n *Node) updateProgress(now time.Duration, id string) {
 	version, tasks := n.coordinator.Progress(id)
 	if tasks == nil {
 		return // its answer ends it
 	}
-	n.keeper.ledger.UpdateProgress(now, id, version, tasks)
+	n.durable.ledger.UpdateProgress(now, id, version, tasks)
 }
 
 // endKept hands the end of a kept job to the ledger.
-func (n *Node) endKept(now time.Duration, a coordinator.Answer) {
+func (n *Node) endDurable(now time.Duration, a coordinator.Answer) {
 	state := ledger.Completed
 	if a.Status != coordinator.Completed {
 		state = ledger.Failed
 	}
-	n.keeper.ledger.End(now, a.Job, state)
+	n.durable.ledger.End(now, a.Job, state)
 }
 
 // flush starts the writes that are due. The lock is held.
-func (n *Node) flush(now time.Duration) {
-	k := &n.keeper
-	gap := n.writeGap()
-	for k.writes < maxWrites && now >= k.next-writeBurst*gap {
+func (n *Node) startWrites(now time.Duration) {
+	k := &n.durable
+	gap := n.writeInterval()
+	for k.writesInFlight < maxWrites && now >= k.nextWriteAt-writeBurst*gap {
 		b, ok := k.ledger.NextBatch(now)
 		if !ok {
 			return
 		}
-		k.next = max(k.next, now) + gap
-		k.writes++
+		k.nextWriteAt = max(k.nextWriteAt, now) + gap
+		k.writesInFlight++
 		n.wg.Go(func() { n.write(b) })
 	}
 }
 
 // writeGap is the mean time between writes that this daemon may make: its share of what
 // the store takes.
-func (n *Node) writeGap() time.Duration {
+func (n *Node) writeInterval() time.Duration {
 	if n.config.StoreWrites <= 0 {
 		return 0
 	}
-	members := float64(max(len(n.fleet.up), len(n.fleet.daemons)) + 1)
+	members := float64(max(len(n.fleet.peers), len(n.fleet.daemons)) + 1)
 	return time.Duration(members / (n.config.StoreWrites * writeShare) * float64(time.Second))
 }
 
@@ -75,85 +75,85 @@
 	if err != nil && n.ctx.Err() == nil {
 		n.storeFailed("write", err)
 	}
-	n.do(func(now time.Duration) {
-		k := &n.keeper
-		k.writes--
-		var news []ledger.Event
+	n.update(func(now time.Duration) {
+		k := &n.durable
+		k.writesInFlight--
+		var events []ledger.Event
 		var fenced bool
 		switch {
 		case err == nil:
-			news, fenced = k.ledger.HandleResult(now, b, r)
+			events, fenced = k.ledger.HandleResult(now, b, r)
 		case errors.Is(err, ledger.ErrNotWritten):
-			news = k.ledger.HandleNotWritten(now, b)
+			events = k.ledger.HandleNotWritten(now, b)
 		default:
-			news = k.ledger.HandleNoAnswer(now, b)
+			events = k.ledger.HandleNoAnswer(now, b)
 		}
 		if err != nil {
-			k.next = max(k.next, now) + writePause + writeBurst*n.writeGap()
+			k.nextWriteAt = max(k.nextWriteAt, now) + writeRetryDelay + writeBurst*n.writeInterval()
 		}
 		if fenced {
-			n.fenced(now)
+			n.handleFenced(now)
 		}
-		n.learn(now, news)
+		n.applyLedgerEvents(now, events)
 	})
 }
 
 // learn acts on what became of jobs in the store, and tells peers. The lock is held.
-func (n *Node) learn(now time.Duration, news []ledger.Event) {
-	var told []*schema.JobState
-	for _, x := range news {
-		id := x.Record.Job.ID
-		n.metrics.ledgerNews(x.Kind)
-		state := n.learnOne(now, id, x)
-		n.answerCallers(id, x.Kind)
+func (n *Node) applyLedgerEvents(now time.Duration, events []ledger.Event) {
+	var reported []*schema.JobState
+	for _, event := range events {
+		id := event.Record.Job.ID
+		n.metrics.countLedgerEvent(event.Kind)
+		state := n.applyLedgerEvent(now, id, event)
+		n.notifyCallers(id, event.Kind)
 		if state != 0 {
-			n.keeper.states.put(id, knownState{state, n.self.Incarnation, now}, n.config.Retention)
-			told = append(told, &schema.JobState{Job: id, State: uint32(state)})
+			n.durable.states.put(id, knownState{state, n.self.Incarnation, now}, n.config.Retention)
+			reported = append(reported, &schema.JobState{Job: id, State: uint32(state)})
 		}
 	}
-	if len(told) == 0 {
+	if len(reported) == 0 {
 		return
 	}
 	for _, p := range n.mesh.Peers() {
-		n.mesh.Send(p.Process, &schema.Frame{Body: &schema.Frame_JobStates{JobStates: &schema.JobStates{States: told}}})
+		n.mesh.Send(p.Process, &schema.Frame{Body: &schema.Frame_JobStates{JobStates: &schema.JobStates{States: reported}}})
 	}
 }
 
 // learnOne acts on the news of one job and returns the state that it is in by it; 0 when
 // that is not certain or nothing new.
-func (n *Node) learnOne(now time.Duration, id string, x ledger.Event) ledger.State {
-	if x.Kind != ledger.ProgressStored {
-		n.logNews(id, x)
+func (n *Node) applyLedgerEvent(now time.Duration, id string, event ledger.Event) ledger.State {
+	if event.Kind != ledger.ProgressStored {
+		n.logLedgerEvent(id, event)
 	}
-	switch x.Kind {
+	switch event.Kind {
 	case ledger.Stored, ledger.TakenOver:
-		if x.State != 0 {
+		if event.State != 0 {
 			return 0 // canceled on its way; its end is stored next
 		}
-		j := x.Record.Job
-		if x.Kind == ledger.TakenOver {
-			j.Progress = inherited(x.Record)
+		j := event.Record.Job
+		if event.Kind == ledger.TakenOver {
+			j.Progress = takenOverProgress(event.Record)
 		}
 		n.coordinator.Submit(now, j)
 		return ledger.Queued
 	case ledger.ProgressStored:
-		n.coordinator.HandlePersisted(id, x.Version, false)
+		n.coordinator.HandlePersisted(id, event.Version, false)
 	case ledger.Ended:
-		if x.State == ledger.Canceled {
+		if event.State == ledger.Canceled {
 			n.coordinator.Cancel(now, id)
 		}
-		n.coordinator.HandlePersisted(id, x.Version, true)
-		return x.State
+		n.coordinator.HandlePersisted(id, event.Version, true)
+		return event.State
 	case ledger.OwnershipLost:
 		n.coordinator.DropJob(id)
-		n.keeper.states.remove(id)
+		n.durable.states.remove(id)
 	}
 	return 0
 }
 
 // inherited is the progress of an adopted job. Where nothing was stored, tasks may have
 // been started all the same.
-func inherited(r ledger.Record) []coordinator.Progress {
+func takenOverProgress(r ledger.Record) []coordinator.Progress {
 	if len(r.Tasks) > 0 {
 		return r.Tasks
 	}
@@ -165,34 +165,34 @@
 }
 
 // told takes what a peer has stored.
-func (n *Node) told(now time.Duration, p mesh.Peer, states []*schema.JobState) {
-	n.useLedger()
+func (n *Node) handleJobStates(now time.Duration, p mesh.Peer, states []*schema.JobState) {
+	n.markLedgerInUse()
 	for _, s := range states {
 		state := ledger.State(s.GetState())
-		n.keeper.states.put(s.GetJob(), knownState{state, p.Incarnation, now}, n.config.Retention)
-		if state == ledger.Canceled && n.keeper.ledger.Has(s.GetJob()) {
+		n.durable.states.put(s.GetJob(), knownState{state, p.Incarnation, now}, n.config.Retention)
+		if state == ledger.Canceled && n.durable.ledger.Has(s.GetJob()) {
 			n.coordinator.Cancel(now, s.GetJob())
-			n.keeper.ledger.End(now, s.GetJob(), state)
+			n.durable.ledger.End(now, s.GetJob(), state)
 		}
 	}
 }
 
 // lookUpEnds asks the store for the state of jobs whose ends are held, so that those of
 // jobs that are not kept may be acknowledged. The lock is held.
-func (n *Node) lookUpEnds(now time.Duration, jobs []string) {
-	k := &n.keeper
-	if k.looking || now < k.lookedUp+writePause {
+func (n *Node) lookUpJobStates(now time.Duration, jobs []string) {
+	k := &n.durable
+	if k.lookupInFlight || now < k.lookedUpAt+writeRetryDelay {
 		return
 	}
-	k.looking, k.lookedUp = true, now
-	used := k.used
+	k.lookupInFlight, k.lookedUpAt = true, now
+	inUse := k.inUse
 	n.wg.Go(func() {
-		states, err := n.jobStates(jobs, used)
-		n.do(func(later time.Duration) {
-			k.looking = false
+		states, err := n.readJobStates(jobs, inUse)
+		n.update(func(later time.Duration) {
+			k.lookupInFlight = false
 			if err == nil {
 				if len(states) > 0 {
-					n.useLedger()
+					n.markLedgerInUse()
 				}
 				n.executor.ApplyJobStates(later, now, func(job string) executor.JobState { return states[job] })
 			}
@@ -205,7 +205,7 @@
 
 // jobStates reads which jobs have not ended by one list, and which others are kept one by
 // one; where this process knows of none that were, by a list as well.
-func (n *Node) jobStates(jobs []string, used bool) (map[string]executor.JobState, error) {
+func (n *Node) readJobStates(jobs []string, inUse bool) (map[string]executor.JobState, error) {
 	records, err := n.platform.Ledger.List(n.ctx, ledger.RecordEntry)
 	if err != nil {
 		return nil, err
@@ -214,7 +214,7 @@
 	for _, r := range records {
 		states[r.ID] = executor.JobOpen
 	}
-	if !used && len(records) == 0 {
+	if !inUse && len(records) == 0 {
 		ended, err := n.platform.Ledger.List(n.ctx, ledger.StateEntry)
 		for _, e := range ended {
 			states[e.ID] = executor.JobEnded
@@ -237,10 +237,10 @@
 	return states, nil
 }
 
-func (n *Node) logNews(id string, x ledger.Event) {
-	fields := logrus.Fields{"event": "job_" + x.Kind.String(), "job": id, "route": x.Record.Route}
-	if x.State != 0 {
-		fields["state"] = x.State
+func (n *Node) logLedgerEvent(id string, event ledger.Event) {
+	fields := logrus.Fields{"event": "job_" + event.Kind.String(), "job": id, "route": event.Record.Route}
+	if event.State != 0 {
+		fields["state"] = event.State
 	}
 	n.log.WithFields(fields).Info()
 }
