--- a/internal/node/cellfeed.go
+++ b/internal/node/cellfeed.go
@@ -153,11 +153,11 @@
 func (n *Node) setReadSource(root string, age time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r := &n.fleet.sync
-	if r.root != root {
-		n.log.WithFields(logrus.Fields{"event": "reads_from", "root": root, "before": r.root}).Info()
+	s := &n.fleet.sync
+	if s.root != root {
+		n.log.WithFields(logrus.Fields{"event": "reads_from", "root": root, "before": s.root}).Info()
 	}
-	r.root, r.rootAge = root, age
+	s.root, s.rootAge = root, age
 }
 
 // cachePacked caches a root relay's compressed list of all entries for the daemons of this cell that
@@ -178,8 +178,8 @@
 	if n.config.FeedPort == 0 || f.cells.Count() == 1 || !f.sync.isRelay {
 		return nil
 	}
-	places := f.daemonInfos(n.self)
-	roots := registry.SelectRootRelays(relaysOfCells(f.cells, places))
+	daemons := f.daemonInfos(n.self)
+	roots := registry.SelectRootRelays(relaysOfCells(f.cells, daemons))
 	self := registry.Relay{Process: n.self.Process, Domain: n.self.Domain, Weight: n.self.Weight}
 	for _, r := range registry.RankRootRelays(self, roots) {
 		if r.Address == n.self.Address {
@@ -191,16 +191,16 @@
 }
 
 // relaysOfCells returns the relays of all cells, by the list of daemons.
-func relaysOfCells(c fleet.Cells, places []fleet.DaemonInfo) (all []registry.Relay) {
+func relaysOfCells(c fleet.Cells, daemons []fleet.DaemonInfo) (all []registry.Relay) {
 	byCell := make([][]registry.Relay, c.Count())
-	for _, p := range places {
-		r := registry.Relay{Process: member.Process{Address: p.Address}, Domain: p.Domain, Weight: p.Weight}
-		byCell[c.CellOf(p.Address)] = append(byCell[c.CellOf(p.Address)], r)
+	for _, d := range daemons {
+		r := registry.Relay{Process: member.Process{Address: d.Address}, Domain: d.Domain, Weight: d.Weight}
+		byCell[c.CellOf(d.Address)] = append(byCell[c.CellOf(d.Address)], r)
 	}
 	for _, cell := range byCell {
-		chosen := registry.SelectRelays(cell)
+		selected := registry.SelectRelays(cell)
 		for _, r := range cell {
-			if slices.Contains(chosen, r.Process) {
+			if slices.Contains(selected, r.Process) {
 				all = append(all, r)
 			}
 		}
@@ -245,20 +245,20 @@
 // daemon recently.
 func (n *Node) awaitRead(ctx context.Context, after int64, wait time.Duration) {
 	n.mu.Lock()
-	r := &n.fleet.sync
-	if r.knownRevision > after || r.knownRevision > 0 && n.clock.now()-r.storeAnsweredAt > maxRootAge {
+	s := &n.fleet.sync
+	if s.knownRevision > after || s.knownRevision > 0 && n.clock.now()-s.storeAnsweredAt > maxRootAge {
 		n.mu.Unlock()
 		return
 	}
-	if r.nextRead == nil {
-		r.nextRead = make(chan struct{})
+	if s.nextRead == nil {
+		s.nextRead = make(chan struct{})
 	}
-	read := r.nextRead
+	nextRead := s.nextRead
 	n.mu.Unlock()
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
-	case <-read:
+	case <-nextRead:
 	case <-ctx.Done():
 	case <-n.serving.Done():
 	case <-t.C:
@@ -270,12 +270,12 @@
 func (n *Node) entriesAfter(after int64) *schema.Registry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r, now := &n.fleet.sync, n.clock.now()
-	age := now - r.storeAnsweredAt
-	if r.knownRevision == 0 || r.root != "" || r.storeAnsweredAt == 0 || age > maxRootAge || n.stopping.Load() {
+	s, now := &n.fleet.sync, n.clock.now()
+	age := now - s.storeAnsweredAt
+	if s.knownRevision == 0 || s.root != "" || s.storeAnsweredAt == 0 || age > maxRootAge || n.stopping.Load() {
 		return nil
 	}
-	g := &schema.Registry{Revision: r.knownRevision, Since: after, AgeMs: age.Milliseconds()}
+	g := &schema.Registry{Revision: s.knownRevision, Since: after, AgeMs: age.Milliseconds()}
 	if after == 0 || after < n.fleet.forgottenRevision {
 		g.Since, g.Complete, g.Packed = 0, true, n.allPacked()
 		if g.Packed == nil {
@@ -283,7 +283,7 @@
 		}
 		return g
 	}
-	if after < r.knownRevision {
+	if after < s.knownRevision {
 		g.Entries = n.fleet.changedSince(after)
 	}
 	return g
--- a/internal/node/cellhandover.go
+++ b/internal/node/cellhandover.go
@@ -19,7 +19,7 @@
 
 // withoutHandovers returns the workers of this cell that are no longer left to the daemons of their
 // former cells. It sets reassignAt to when the next one is.
-func (f *fleetView) withoutHandovers(now time.Duration, ownCell []executor.WorkerInfo) []executor.WorkerInfo {
+func (f *fleetView) readyForTakeover(now time.Duration, ownCell []executor.WorkerInfo) []executor.WorkerInfo {
 	if !f.settled || f.assumeUnlinked { // the former cells of the workers are not known yet
 		return ownCell
 	}
--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -34,12 +34,12 @@
 // sync detects a suspension, adds it to the clock and returns its length. Each call costs a system call,
 // so the daemon calls it once per tick and not for every event.
 func (c *bootClock) sync() time.Duration {
-	missed := bootTime() - time.Since(c.start) - c.offset
-	jump := missed - time.Duration(c.suspended.Load())
+	suspended := bootTime() - time.Since(c.start) - c.offset
+	jump := suspended - time.Duration(c.suspended.Load())
 	if jump < minSuspension {
 		return 0
 	}
-	c.suspended.Store(int64(missed))
+	c.suspended.Store(int64(suspended))
 	return jump
 }
 
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -13,9 +13,9 @@
 // requestNewerConfiguration asks a peer for its configuration when that is newer and the store does not
 // deliver it in time. The lock is held.
 func (n *Node) requestNewerConfiguration(now time.Duration) {
-	has := n.configurationVersion()
-	if n.fleet.newestConfiguration() <= has {
-		n.configuration.fetcher.NextSource(now, n.self.Process, has, false, nil)
+	version := n.configurationVersion()
+	if n.fleet.newestConfiguration() <= version {
+		n.configuration.fetcher.NextSource(now, n.self.Process, version, false, nil)
 		return
 	}
 	var peers []registry.ConfigSource
@@ -24,12 +24,12 @@
 			peers = append(peers, registry.ConfigSource{Process: k.Process, Version: k.configurationVersion, SameDomain: k.Domain == n.self.Domain})
 		}
 	}
-	to, ok := n.configuration.fetcher.NextSource(now, n.self.Process, has, n.configuration.storeUnreachable(now), peers)
+	source, ok := n.configuration.fetcher.NextSource(now, n.self.Process, version, n.configuration.storeUnreachable(now), peers)
 	if !ok {
 		return
 	}
-	n.log.WithFields(logrus.Fields{"event": "configuration_asked_for", "peer": n.fleet.peers[to.Address].Name, "version": has}).Info()
-	n.mesh.Send(to, &schema.Frame{Body: &schema.Frame_DocumentRequest{DocumentRequest: &schema.DocumentRequest{Version: has}}})
+	n.log.WithFields(logrus.Fields{"event": "configuration_asked_for", "peer": n.fleet.peers[source.Address].Name, "version": version}).Info()
+	n.mesh.Send(source, &schema.Frame{Body: &schema.Frame_DocumentRequest{DocumentRequest: &schema.DocumentRequest{Version: version}}})
 }
 
 // configurationVersion returns the version of the configuration in force; 0 before the first.
--- a/internal/node/convert.go
+++ b/internal/node/convert.go
@@ -161,25 +161,25 @@
 const maxSlowdownPercent = 10000
 
 // executorFromHeartbeat returns the state of a peer's executor, by its heartbeat.
-func executorFromHeartbeat(p member.Process, distance int, pulse *schema.Pulse) coordinator.ExecutorState {
-	h := coordinator.ExecutorState{
-		Process: p, Distance: distance, Leaving: pulse.GetLeaving() || !pulse.GetServing(),
-		Backlog: make(map[string]executor.Backlog), ReportInterval: ms(pulse.GetNextMs()), Demands: demandsFromHeartbeat(pulse),
-		Workers: make([]executor.WorkerCapacity, 0, len(pulse.GetRooms())),
+func executorFromHeartbeat(p member.Process, distance int, heartbeat *schema.Pulse) coordinator.ExecutorState {
+	state := coordinator.ExecutorState{
+		Process: p, Distance: distance, Leaving: heartbeat.GetLeaving() || !heartbeat.GetServing(),
+		Backlog: make(map[string]executor.Backlog), ReportInterval: ms(heartbeat.GetNextMs()), Demands: demandsFromHeartbeat(heartbeat),
+		Workers: make([]executor.WorkerCapacity, 0, len(heartbeat.GetRooms())),
 	}
-	for _, r := range pulse.GetRooms() {
-		h.Workers = append(h.Workers, executor.WorkerCapacity{
+	for _, r := range heartbeat.GetRooms() {
+		state.Workers = append(state.Workers, executor.WorkerCapacity{
 			Worker: r.GetWorker(), Service: r.GetService(), Open: r.GetOpen(), Usable: r.GetUsable(),
 			Free:     capacity.Vector{MilliCPU: r.GetMilliCpu(), MemoryMB: r.GetMemoryMb(), GPUs: r.GetGpus()},
 			Total:    capacity.Vector{MilliCPU: r.GetTotalMilliCpu(), MemoryMB: r.GetTotalMemoryMb(), GPUs: r.GetTotalGpus()},
 			Slowdown: float64(r.GetPacePercent()) / 100, Epoch: r.GetTenure(), Token: r.GetToken(),
 		})
 	}
-	for _, b := range pulse.GetBacklogs() {
-		var work executor.Backlog
-		copy(work.WithinShare(), b.GetCoreMs())
-		copy(work.OverShare(), b.GetSurplusCoreMs())
-		h.Backlog[b.GetService()] = work
+	for _, b := range heartbeat.GetBacklogs() {
+		var backlog executor.Backlog
+		copy(backlog.WithinShare(), b.GetCoreMs())
+		copy(backlog.OverShare(), b.GetSurplusCoreMs())
+		state.Backlog[b.GetService()] = backlog
 	}
-	return h
+	return state
 }
--- a/internal/node/demands.go
+++ b/internal/node/demands.go
@@ -10,12 +10,12 @@
 
 // reportShares adds the demand of this daemon's callers to a heartbeat. It publishes demands and shares
 // in the metrics.
-func (n *Node) reportShares(now time.Duration, p *schema.Pulse) {
+func (n *Node) reportShares(now time.Duration, heartbeat *schema.Pulse) {
 	queues := n.coordinator.ShareStates(now)
 	n.metrics.publishShares(queues)
 	for _, s := range queues {
 		if s.OwnDemand > 0 {
-			p.Demands = append(p.Demands, &schema.Demand{Service: s.Service, Queue: s.Queue, MilliCpu: s.OwnDemand})
+			heartbeat.Demands = append(heartbeat.Demands, &schema.Demand{Service: s.Service, Queue: s.Queue, MilliCpu: s.OwnDemand})
 		}
 	}
 }
@@ -56,9 +56,9 @@
 }
 
 // demandsFromHeartbeat returns the demands of a peer's callers.
-func demandsFromHeartbeat(pulse *schema.Pulse) []coordinator.Demand {
+func demandsFromHeartbeat(heartbeat *schema.Pulse) []coordinator.Demand {
 	var list []coordinator.Demand
-	for _, d := range pulse.GetDemands() {
+	for _, d := range heartbeat.GetDemands() {
 		list = append(list, coordinator.Demand{Service: d.GetService(), Queue: d.GetQueue(), MilliCPU: d.GetMilliCpu()})
 	}
 	return list
--- a/internal/node/durable.go
+++ b/internal/node/durable.go
@@ -122,11 +122,11 @@
 // addDurable adds a new job to the ledger and returns its waiting caller, or returns the
 // result where it is known at once. The lock is held.
 func (n *Node) addDurable(now time.Duration, r Request) (*caller, Acceptance) {
-	k := &n.durable
-	if k.states.get(r.ID) != 0 || k.ledger.Accepted(r.ID) {
+	d := &n.durable
+	if d.states.get(r.ID) != 0 || d.ledger.Accepted(r.ID) {
 		return nil, Acceptance{Verdict: Accepted}
 	}
-	if k.ledger.Has(r.ID) {
+	if d.ledger.Has(r.ID) {
 		return n.addCaller(r.ID, false), Acceptance{}
 	}
 	refuse := func(why coordinator.Reason, after time.Duration) (*caller, Acceptance) {
@@ -145,7 +145,7 @@
 	if reason, after := n.coordinator.CheckAdmission(now, j); reason != "" {
 		return refuse(reason, after)
 	}
-	k.ledger.Add(now, ledger.Record{Job: j, Route: r.Route.Name})
+	d.ledger.Add(now, ledger.Record{Job: j, Route: r.Route.Name})
 	n.markLedgerInUse()
 	return n.addCaller(r.ID, false), Acceptance{}
 }
@@ -262,8 +262,8 @@
 // held.
 func (n *Node) ownPendingJobs() map[string]uint32 {
 	counts := make(map[string]uint32)
-	n.coordinator.EachDurableJob(func(id string, begun bool) {
-		if !begun {
+	n.coordinator.EachDurableJob(func(id string, started bool) {
+		if !started {
 			counts[n.durable.ledger.Route(id)]++
 		}
 	})
@@ -274,16 +274,16 @@
 func (n *Node) Cancel(ctx context.Context, id string) Cancellation {
 	ctx, end := n.whileServing(ctx)
 	defer end()
-	var here bool
+	var canceled bool
 	var c *caller
 	n.update(func(now time.Duration) {
-		if here = n.cancelNonDurable(now, id); here || !n.durable.ledger.Has(id) {
+		if canceled = n.cancelNonDurable(now, id); canceled || !n.durable.ledger.Has(id) {
 			return
 		}
 		n.durable.ledger.End(now, id, ledger.Canceled)
 		c = n.addCaller(id, true)
 	})
-	if here || c != nil && n.awaitEvent(ctx, id, c) == ledger.Ended {
+	if canceled || c != nil && n.awaitEvent(ctx, id, c) == ledger.Ended {
 		return CancelDone
 	}
 	for ctx.Err() == nil {
--- a/internal/node/entries.go
+++ b/internal/node/entries.go
@@ -190,10 +190,10 @@
 			changed = true
 		}
 	}
-	for id, g := range f.removedWorkers {
-		if now-g.removedAt >= removedWorkerMemory {
+	for id, removed := range f.removedWorkers {
+		if now-removed.removedAt >= removedWorkerMemory {
 			delete(f.removedWorkers, id)
-			f.forgottenRevision = max(f.forgottenRevision, g.reportedRevision)
+			f.forgottenRevision = max(f.forgottenRevision, removed.reportedRevision)
 		}
 	}
 	return changed
--- a/internal/node/entrysync.go
+++ b/internal/node/entrysync.go
@@ -53,17 +53,17 @@
 }
 
 // wakeFeeds tells waiting relays of other cells that there may be changes.
-func (r *entrySync) wakeFeeds() {
-	if r.nextRead != nil {
-		close(r.nextRead)
-		r.nextRead = nil
+func (s *entrySync) wakeFeeds() {
+	if s.nextRead != nil {
+		close(s.nextRead)
+		s.nextRead = nil
 	}
 }
 
 // addChange records a change to be sent to peers.
-func (r *entrySync) addChange(i registry.Item) {
-	if r.isRelay && !r.firstRead {
-		r.changes = append(r.changes, recordOf(i))
+func (s *entrySync) addChange(i registry.Item) {
+	if s.isRelay && !s.firstRead {
+		s.changes = append(s.changes, recordOf(i))
 	}
 }
 
@@ -73,7 +73,7 @@
 
 // updateRelayRole determines whether this daemon is a relay. The lock is held.
 func (n *Node) updateRelayRole(now time.Duration) {
-	r := &n.fleet.sync
+	s := &n.fleet.sync
 	if !n.cellResolved.Load() {
 		return // the relays are in this daemon's cell, which is not known
 	}
@@ -81,14 +81,14 @@
 	for _, p := range n.relays(now) {
 		isRelay = isRelay || p == n.self.Process
 	}
-	if isRelay == r.isRelay {
+	if isRelay == s.isRelay {
 		return
 	}
-	if r.isRelay, r.changes = isRelay, nil; isRelay {
-		r.term++
-		r.termStartedAt = now
+	if s.isRelay, s.changes = isRelay, nil; isRelay {
+		s.term++
+		s.termStartedAt = now
 	}
-	n.log.WithFields(logrus.Fields{"event": "reads_entries", "for_others": isRelay, "term": r.term}).Info()
+	n.log.WithFields(logrus.Fields{"event": "reads_entries", "for_others": isRelay, "term": s.term}).Info()
 }
 
 // relays returns the daemons that read the store's entries for others, as far as this daemon knows.
@@ -122,44 +122,44 @@
 }
 
 // addToHeartbeat adds the relay's own state to a heartbeat.
-func (r *entrySync) addToHeartbeat(now time.Duration, p *schema.Pulse) {
-	if r.isRelay && r.appliedAt > r.termStartedAt {
-		p.RegistryRevision, p.RegistryTerm, p.RegistryAgeMs = r.knownRevision, r.term, (now - r.storeAnsweredAt).Milliseconds()
+func (s *entrySync) addToHeartbeat(now time.Duration, heartbeat *schema.Pulse) {
+	if s.isRelay && s.appliedAt > s.termStartedAt {
+		heartbeat.RegistryRevision, heartbeat.RegistryTerm, heartbeat.RegistryAgeMs = s.knownRevision, s.term, (now - s.storeAnsweredAt).Milliseconds()
 	}
 }
 
 // handleHeartbeat handles the relay state in a peer's heartbeat. A relay takes no changes from other
 // relays, as it would have to pass them on.
-func (r *entrySync) handleHeartbeat(now time.Duration, k *knownPeer, p *schema.Pulse) {
-	k.reported = registry.RelayState{Revision: p.GetRegistryRevision(), Term: p.GetRegistryTerm(), Age: ms(p.GetRegistryAgeMs())}
-	if r.isRelay {
+func (s *entrySync) handleHeartbeat(now time.Duration, k *knownPeer, heartbeat *schema.Pulse) {
+	k.reported = registry.RelayState{Revision: heartbeat.GetRegistryRevision(), Term: heartbeat.GetRegistryTerm(), Age: ms(heartbeat.GetRegistryAgeMs())}
+	if s.isRelay {
 		k.stream = registry.RelayStream{}
 		return
 	}
-	r.knownRevision = k.stream.HandleState(now, r.knownRevision, k.reported)
+	s.knownRevision = k.stream.HandleState(now, s.knownRevision, k.reported)
 	if k.stream.UpToDate(now) {
-		r.upToDateAt = max(r.upToDateAt, now-k.reported.Age)
+		s.upToDateAt = max(s.upToDateAt, now-k.reported.Age)
 	}
 }
 
 // nextSyncStep returns the revision up to which this daemon knows all changes, and how it is to
 // learn of later ones.
-func (n *Node) nextSyncStep() (known int64, step registry.SyncAction) {
+func (n *Node) nextSyncAction() (knownRevision int64, action registry.SyncAction) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	now, r := n.clock.now(), &n.fleet.sync
-	if !n.cellResolved.Load() && r.knownRevision == 0 {
+	now, s := n.clock.now(), &n.fleet.sync
+	if !n.cellResolved.Load() && s.knownRevision == 0 {
 		return 0, registry.WaitForRelay
 	}
 	n.updateRelayRole(now)
-	step = r.planner.NextAction(now, registry.SyncStatus{
-		IsRelay: r.isRelay, UsesRelays: n.fleet.usesRelays(), Starting: n.awaitsRelays(now), StoreUnreachable: n.configuration.storeUnreachable(now),
-		RelayUpToDate: n.fleet.hasUpToDateRelay(now), RelayAhead: n.fleet.relayAhead() != nil, UpToDateAt: r.upToDateAt,
+	action = s.planner.NextAction(now, registry.SyncStatus{
+		IsRelay: s.isRelay, UsesRelays: n.fleet.usesRelays(), Starting: n.awaitsRelays(now), StoreUnreachable: n.configuration.storeUnreachable(now),
+		RelayUpToDate: n.fleet.hasUpToDateRelay(now), RelayAhead: n.fleet.relayAhead() != nil, UpToDateAt: s.upToDateAt,
 	})
-	if step == registry.WatchStore && r.knownRevision == 0 {
-		step = registry.ReadAll // there is no revision to watch from
+	if action == registry.WatchStore && s.knownRevision == 0 {
+		action = registry.ReadAll // there is no revision to watch from
 	}
-	return r.knownRevision, step
+	return s.knownRevision, action
 }
 
 // usesRelays reports whether some daemons read the store for all.
@@ -192,8 +192,8 @@
 // sendChanges sends the changes to all peers. At the start of a term it also announces that changes
 // will follow. The lock is held.
 func (n *Node) sendChanges() {
-	r := &n.fleet.sync
-	if len(r.changes) == 0 && (!r.isRelay || r.announcedTerm == r.term) {
+	s := &n.fleet.sync
+	if len(s.changes) == 0 && (!s.isRelay || s.announcedTerm == s.term) {
 		return
 	}
 	for _, k := range n.fleet.peers {
@@ -201,19 +201,19 @@
 			n.sendChangesTo(k.Process)
 		}
 	}
-	r.changes, r.announcedTerm = nil, r.term
+	s.changes, s.announcedTerm = nil, s.term
 }
 
 // sendChangesTo sends the changes to one peer; without changes it announces that they will follow.
 func (n *Node) sendChangesTo(p member.Process) {
-	r := &n.fleet.sync
-	n.mesh.Send(p, &schema.Frame{Body: &schema.Frame_Registry{Registry: &schema.Registry{Entries: r.changes, Term: r.term}}})
+	s := &n.fleet.sync
+	n.mesh.Send(p, &schema.Frame{Body: &schema.Frame_Registry{Registry: &schema.Registry{Entries: s.changes, Term: s.term}}})
 }
 
 // announceChangesTo tells a newly linked peer that this relay sends it the changes from now on. The
 // lock is held.
 func (n *Node) announceChangesTo(p member.Process) {
-	if r := &n.fleet.sync; r.isRelay && r.announcedTerm == r.term {
+	if s := &n.fleet.sync; s.isRelay && s.announcedTerm == s.term {
 		n.sendChangesTo(p)
 	}
 }
@@ -221,62 +221,62 @@
 // requestEntries asks a relay for the entries that this daemon lacks, unless it has an up-to-date
 // relay already. The lock is held.
 func (n *Node) requestEntries(now time.Duration) {
-	r := &n.fleet.sync
+	s := &n.fleet.sync
 	storeUnreachable, awaitsRelays := n.configuration.storeUnreachable(now), n.awaitsRelays(now)
-	readsStore := r.knownRevision == 0 && !storeUnreachable && !awaitsRelays // this daemon reads the store itself
-	if r.isRelay || readsStore || !storeUnreachable && !awaitsRelays && !n.fleet.usesRelays() || r.requestedAt > 0 && now-r.requestedAt < entriesRequestInterval || n.fleet.hasUpToDateRelay(now) {
+	readsStore := s.knownRevision == 0 && !storeUnreachable && !awaitsRelays // this daemon reads the store itself
+	if s.isRelay || readsStore || !storeUnreachable && !awaitsRelays && !n.fleet.usesRelays() || s.requestedAt > 0 && now-s.requestedAt < entriesRequestInterval || n.fleet.hasUpToDateRelay(now) {
 		return
 	}
-	k := n.fleet.relayAhead()
-	if k == nil {
+	relay := n.fleet.relayAhead()
+	if relay == nil {
 		return
 	}
-	r.requestedAt, r.requestedFrom = now, k.Process
-	n.log.WithFields(logrus.Fields{"event": "entries_asked_for", "peer": k.Name, "revision": r.knownRevision, "age_ms": (now - r.upToDateAt).Milliseconds()}).Info()
-	n.mesh.Send(k.Process, &schema.Frame{Body: &schema.Frame_RegistryRequest{RegistryRequest: &schema.RegistryRequest{Revision: r.knownRevision}}})
+	s.requestedAt, s.requestedFrom = now, relay.Process
+	n.log.WithFields(logrus.Fields{"event": "entries_asked_for", "peer": relay.Name, "revision": s.knownRevision, "age_ms": (now - s.upToDateAt).Milliseconds()}).Info()
+	n.mesh.Send(relay.Process, &schema.Frame{Body: &schema.Frame_RegistryRequest{RegistryRequest: &schema.RegistryRequest{Revision: s.knownRevision}}})
 }
 
 // handleRegistryRequest sends a peer the changes since the revision that it knows, or all entries
 // when this relay no longer remembers all deletions since then. A peer that gets no answer asks
 // another relay. The lock is held.
-func (n *Node) handleRegistryRequest(now time.Duration, p mesh.Peer, q *schema.RegistryRequest) {
-	r, since := &n.fleet.sync, q.GetRevision()
-	if !r.isRelay || r.appliedAt <= r.termStartedAt || since >= r.knownRevision {
+func (n *Node) handleRegistryRequest(now time.Duration, p mesh.Peer, request *schema.RegistryRequest) {
+	s, since := &n.fleet.sync, request.GetRevision()
+	if !s.isRelay || s.appliedAt <= s.termStartedAt || since >= s.knownRevision {
 		return
 	}
-	out := &schema.Registry{Revision: r.knownRevision, Term: r.term, Since: since}
+	answer := &schema.Registry{Revision: s.knownRevision, Term: s.term, Since: since}
 	if since == 0 || since < n.fleet.forgottenRevision {
-		out.Since, out.Complete, out.Packed = 0, true, n.allPacked()
-		if out.Packed == nil || !r.copyLimiter.Allow(now, len(out.Packed)) {
+		answer.Since, answer.Complete, answer.Packed = 0, true, n.allPacked()
+		if answer.Packed == nil || !s.copyLimiter.Allow(now, len(answer.Packed)) {
 			return
 		}
 	} else {
-		out.Entries = n.fleet.changedSince(since)
+		answer.Entries = n.fleet.changedSince(since)
 	}
-	n.mesh.Send(p.Process, &schema.Frame{Body: &schema.Frame_Registry{Registry: out}})
+	n.mesh.Send(p.Process, &schema.Frame{Body: &schema.Frame_Registry{Registry: answer}})
 }
 
 // allPacked returns all entries, compressed. After a loss of power all daemons of the cell ask for
 // them at once. The lock is held.
 func (n *Node) allPacked() []byte {
-	r := &n.fleet.sync
-	if r.packedRevision == r.knownRevision {
-		return r.packed
+	s := &n.fleet.sync
+	if s.packedRevision == s.knownRevision {
+		return s.packed
 	}
 	packed, err := packEntries(n.fleet.entriesSince(0))
 	if err != nil {
 		n.log.WithFields(logrus.Fields{"event": "entries_not_packed", "error": err}).Error()
 	}
-	r.packed, r.packedRevision = packed, r.knownRevision
+	s.packed, s.packedRevision = packed, s.knownRevision
 	return packed
 }
 
 // changedSince returns the entries that have changed after a revision, and the deletions.
 func (f *fleetView) changedSince(revision int64) []*schema.EntryRecord {
 	list := f.entriesSince(revision)
-	for id, g := range f.removedWorkers {
-		if g.reportedRevision > revision {
-			list = append(list, recordOf(registry.Item{Kind: registry.Worker, ID: id, Revision: g.revision, Deleted: true}))
+	for id, w := range f.removedWorkers {
+		if w.reportedRevision > revision {
+			list = append(list, recordOf(registry.Item{Kind: registry.Worker, ID: id, Revision: w.revision, Deleted: true}))
 		}
 	}
 	for id, d := range f.daemons {
@@ -303,21 +303,21 @@
 }
 
 // handleRegistry applies entries that a relay has read in the store. The lock is held.
-func (n *Node) handleRegistry(now time.Duration, p mesh.Peer, g *schema.Registry) {
-	r := &n.fleet.sync
-	if r.isRelay {
+func (n *Node) handleRegistry(now time.Duration, p mesh.Peer, update *schema.Registry) {
+	s := &n.fleet.sync
+	if s.isRelay {
 		return
 	}
-	k := n.fleet.peers[p.Address]
-	k.stream.HandleOpened(g.GetTerm())
-	k.sendsChanges = true
-	entries := g.GetEntries()
-	if len(g.GetPacked()) > 0 {
-		if g.GetRevision() <= r.knownRevision {
+	relay := n.fleet.peers[p.Address]
+	relay.stream.HandleOpened(update.GetTerm())
+	relay.sendsChanges = true
+	entries := update.GetEntries()
+	if len(update.GetPacked()) > 0 {
+		if update.GetRevision() <= s.knownRevision {
 			return // this daemon knows all of it
 		}
 		var err error
-		if entries, err = unpackEntries(g.GetPacked()); err != nil {
+		if entries, err = unpackEntries(update.GetPacked()); err != nil {
 			n.log.WithFields(logrus.Fields{"event": "entries_unreadable", "peer": p.Name, "error": err}).Error()
 			return
 		}
@@ -331,15 +331,15 @@
 			daemons = append(daemons, i)
 		}
 	}
-	if g.GetRevision() > 0 {
-		if g.GetRevision() <= r.knownRevision || r.knownRevision < g.GetSince() {
+	if update.GetRevision() > 0 {
+		if update.GetRevision() <= s.knownRevision || s.knownRevision < update.GetSince() {
 			return
 		}
-		if g.GetComplete() {
-			workers = append(workers, n.fleet.deletionsOfUnlisted(workers, g.GetRevision())...)
+		if update.GetComplete() {
+			workers = append(workers, n.fleet.deletionsOfUnlisted(workers, update.GetRevision())...)
 		}
-		r.knownRevision = g.GetRevision()
-		k.stream.HandleCopy(g.GetTerm())
+		s.knownRevision = update.GetRevision()
+		relay.stream.HandleCopy(update.GetTerm())
 	}
 	// The relay decided whether a worker has left or its entry has only lapsed.
 	changed := n.applyWorkers(now, workers, func(string) bool { return true })
--- a/internal/node/fleetview.go
+++ b/internal/node/fleetview.go
@@ -118,13 +118,13 @@
 }
 
 // handleHeartbeat applies a peer's heartbeat and reports whether it changes the assignment of workers.
-func (f *fleetView) handleHeartbeat(now time.Duration, p mesh.Peer, pulse *schema.Pulse) bool {
+func (f *fleetView) handleHeartbeat(now time.Duration, p mesh.Peer, heartbeat *schema.Pulse) bool {
 	k := f.peers[p.Address]
-	leaving := pulse.GetLeaving()
+	leaving := heartbeat.GetLeaving()
 	changed := k.leaving != leaving
-	k.leaving, k.storeUnreachable, k.pendingJobs = leaving, pulse.GetStoreLost(), pulse.GetPending()
-	k.configurationVersion = pulse.GetDocumentVersion()
-	f.sync.handleHeartbeat(now, k, pulse)
+	k.leaving, k.storeUnreachable, k.pendingJobs = leaving, heartbeat.GetStoreLost(), heartbeat.GetPending()
+	k.configurationVersion = heartbeat.GetDocumentVersion()
+	f.sync.handleHeartbeat(now, k, heartbeat)
 	return changed
 }
 
@@ -296,10 +296,10 @@
 // could not claim its runs there, and the process would stop them. So it waits for links to all
 // daemons. It waits only briefly for daemons that may have lost power too, as they have no runs.
 // metElder: it has met an established daemon.
-func (n *Node) maySettle(now time.Duration, metElder bool) bool {
+func (n *Node) maySettle(now time.Duration, metEstablished bool) bool {
 	f := &n.fleet
 	waitLimit := listedSettleTimeout
-	if !metElder {
+	if !metEstablished {
 		waitLimit = startingSettleTimeout
 	}
 	switch {
@@ -328,7 +328,7 @@
 	}
 	all = f.cells.Workers(f.cell, all, f.daemonInfos(n.self))
 	n.executor.SetDeparting(f.notIn(all))
-	all = f.withoutHandovers(now, all)
+	all = f.readyForTakeover(now, all)
 	if now < assemblePeriod {
 		n.coordinator.ExpectWorkers(len(all))
 	}
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -53,12 +53,12 @@
 	n.configuration.answeredAt = n.clock.now()
 }
 
-func (n *Node) storeFailed(what string, err error) {
-	n.metrics.countStoreFailure(what)
+func (n *Node) storeFailed(call string, err error) {
+	n.metrics.countStoreFailure(call)
 	n.mu.Lock()
 	n.fleet.storeFailedAt = n.clock.now()
 	n.mu.Unlock()
-	n.log.WithFields(logrus.Fields{"event": "store_failed", "call": what, "error": err}).Warn()
+	n.log.WithFields(logrus.Fields{"event": "store_failed", "call": call, "error": err}).Warn()
 }
 
 // follower applies the updates of one of the store's feeds.
@@ -75,8 +75,8 @@
 )
 
 // follow applies the updates of one feed until the daemon closes.
-func (n *Node) follow(feed registry.Feed, pace registry.FollowConfig, fleet bool) {
-	registry.Follow(n.ctx, feed, pace, follower{n, fleet})
+func (n *Node) follow(feed registry.Feed, config registry.FollowConfig, entries bool) {
+	registry.Follow(n.ctx, feed, config, follower{n, entries})
 }
 
 // WaitUntilDue waits while relays read the entries for this daemon.
@@ -85,8 +85,8 @@
 		return revision
 	}
 	for ctx.Err() == nil {
-		known, step := f.n.nextSyncStep()
-		switch step {
+		knownRevision, action := f.n.nextSyncAction()
+		switch action {
 		case registry.UseRelay:
 			clock.Sleep(ctx, followInterval/2)
 		case registry.WaitForRelay:
@@ -94,7 +94,7 @@
 		case registry.ReadAll:
 			return 0
 		default:
-			return max(revision, known)
+			return max(revision, knownRevision)
 		}
 	}
 	return revision
@@ -103,28 +103,28 @@
 // HandleSnapshot applies a complete list of entries. Entries that it doesn't contain were deleted, or
 // have expired in an outage of the store.
 func (f follower) HandleSnapshot(items []registry.Item, revision int64) {
-	shown := make(map[registry.Kind]map[string]bool)
+	listed := make(map[registry.Kind]map[string]bool)
 	for _, i := range items {
-		if shown[i.Kind] == nil {
-			shown[i.Kind] = make(map[string]bool)
+		if listed[i.Kind] == nil {
+			listed[i.Kind] = make(map[string]bool)
 		}
-		shown[i.Kind][i.ID] = true
+		listed[i.Kind][i.ID] = true
 	}
 	if f.entries {
 		f.n.mu.Lock()
 		for id := range f.n.fleet.daemons {
-			if !shown[registry.Daemon][id] {
+			if !listed[registry.Daemon][id] {
 				items = append(items, registry.Item{Kind: registry.Daemon, ID: id, Revision: revision, Deleted: true})
 			}
 		}
 		for id := range f.n.fleet.workers {
-			if !shown[registry.Worker][id] {
+			if !listed[registry.Worker][id] {
 				items = append(items, registry.Item{Kind: registry.Worker, ID: id, Revision: revision, Deleted: true})
 			}
 		}
 		f.n.mu.Unlock()
 	} else {
-		f.n.applyAllRetirements(items, revision)
+		f.n.applyRetirementSnapshot(items, revision)
 	}
 	f.HandleChanges(registry.Changes{Items: items, Revision: revision})
 }
@@ -145,19 +145,19 @@
 		return
 	}
 	f.n.update(func(now time.Duration) {
-		r := &f.n.fleet.sync
-		if r.root == "" {
+		s := &f.n.fleet.sync
+		if s.root == "" {
 			f.n.configuration.answeredAt = now
 		}
-		r.firstRead = r.knownRevision == 0
-		r.knownRevision = max(r.knownRevision, c.Revision)
+		s.firstRead = s.knownRevision == 0
+		s.knownRevision = max(s.knownRevision, c.Revision)
 		if !c.More {
-			r.storeAnsweredAt, r.upToDateAt, r.appliedAt = now-r.rootAge, now-r.rootAge, now
-			f.n.metrics.observeEntriesAge(r.rootAge)
+			s.storeAnsweredAt, s.upToDateAt, s.appliedAt = now-s.rootAge, now-s.rootAge, now
+			f.n.metrics.observeEntriesAge(s.rootAge)
 		}
-		r.wakeFeeds()
+		s.wakeFeeds()
 		f.n.applyEntries(now, items)
-		r.firstRead = false
+		s.firstRead = false
 	})
 }
 
--- a/internal/node/ledgerwrites.go
+++ b/internal/node/ledgerwrites.go
@@ -46,15 +46,15 @@
 
 // startWrites starts the writes that are due. The lock is held.
 func (n *Node) startWrites(now time.Duration) {
-	k := &n.durable
+	d := &n.durable
 	gap := n.writeInterval()
-	for k.writesInFlight < maxWrites && now >= k.nextWriteAt-writeBurst*gap {
-		b, ok := k.ledger.NextBatch(now)
+	for d.writesInFlight < maxWrites && now >= d.nextWriteAt-writeBurst*gap {
+		b, ok := d.ledger.NextBatch(now)
 		if !ok {
 			return
 		}
-		k.nextWriteAt = max(k.nextWriteAt, now) + gap
-		k.writesInFlight++
+		d.nextWriteAt = max(d.nextWriteAt, now) + gap
+		d.writesInFlight++
 		n.wg.Go(func() { n.write(b) })
 	}
 }
@@ -76,20 +76,20 @@
 		n.storeFailed("write", err)
 	}
 	n.update(func(now time.Duration) {
-		k := &n.durable
-		k.writesInFlight--
+		d := &n.durable
+		d.writesInFlight--
 		var events []ledger.Event
 		var fenced bool
 		switch {
 		case err == nil:
-			events, fenced = k.ledger.HandleResult(now, b, r)
+			events, fenced = d.ledger.HandleResult(now, b, r)
 		case errors.Is(err, ledger.ErrNotWritten):
-			events = k.ledger.HandleNotWritten(now, b)
+			events = d.ledger.HandleNotWritten(now, b)
 		default:
-			events = k.ledger.HandleNoAnswer(now, b)
+			events = d.ledger.HandleNoAnswer(now, b)
 		}
 		if err != nil {
-			k.nextWriteAt = max(k.nextWriteAt, now) + writeRetryDelay + writeBurst*n.writeInterval()
+			d.nextWriteAt = max(d.nextWriteAt, now) + writeRetryDelay + writeBurst*n.writeInterval()
 		}
 		if fenced {
 			n.handleFenced(now)
@@ -181,16 +181,16 @@
 // lookUpJobStates reads the states of the jobs of unacknowledged completions from the store, so
 // that the executor can acknowledge completions of jobs that are not durable. The lock is held.
 func (n *Node) lookUpJobStates(now time.Duration, jobs []string) {
-	k := &n.durable
-	if k.lookupInFlight || now < k.lookedUpAt+writeRetryDelay {
+	d := &n.durable
+	if d.lookupInFlight || now < d.lookedUpAt+writeRetryDelay {
 		return
 	}
-	k.lookupInFlight, k.lookedUpAt = true, now
-	inUse := k.inUse
+	d.lookupInFlight, d.lookedUpAt = true, now
+	inUse := d.inUse
 	n.wg.Go(func() {
 		states, err := n.readJobStates(jobs, inUse)
 		n.update(func(later time.Duration) {
-			k.lookupInFlight = false
+			d.lookupInFlight = false
 			if err == nil {
 				if len(states) > 0 {
 					n.markLedgerInUse()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -171,7 +171,7 @@
 	bounded, cancel := context.WithTimeout(ctx, n.config.StopTimeout)
 	defer cancel()
 	n.awaitJobs(bounded)
-	n.removeOwnOwnership(ctx)
+	n.releaseOwnership(ctx)
 	// Callers on open connections send jobs meanwhile; the daemon answers each of them in full.
 	n.awaitJobs(bounded)
 	n.stopServing()
@@ -342,7 +342,7 @@
 }
 
 func (n *Node) sendReports(now time.Duration, reports []executor.OwnedReport) {
-	remote := make(map[member.Process]*schema.Reports)
+	byOwner := make(map[member.Process]*schema.Reports)
 	for _, r := range reports {
 		if r.Outcome != 0 && r.Reason != executor.ReasonReserved {
 			n.metrics.countReport(r.Outcome)
@@ -351,14 +351,14 @@
 			n.coordinator.HandleReport(now, n.self.Process, r.Report)
 			continue
 		}
-		list := remote[r.Owner]
+		list := byOwner[r.Owner]
 		if list == nil {
 			list = new(schema.Reports)
-			remote[r.Owner] = list
+			byOwner[r.Owner] = list
 		}
 		list.Reports = append(list.Reports, reportToWire(r.Report))
 	}
-	for owner, list := range remote {
+	for owner, list := range byOwner {
 		n.mesh.Send(owner, &schema.Frame{Body: &schema.Frame_Reports{Reports: list}})
 	}
 }
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -13,7 +13,7 @@
 	// removeOwnershipTimeout bounds the removal of this daemon's ownership record at a planned
 	// stop. The platform kills a process that takes longer than its grace time; without the
 	// removal successors only take over later.
-	removeOwnershipTimeout = 250 * time.Millisecond
+	releaseTimeout = 250 * time.Millisecond
 	// maxConfirmationAge bounds the age of the confirmation that this daemon's ownership record
 	// exists, while peers are unreachable. Together with the time for a stop and a lease it is
 	// less than the time that a successor waits before it restarts a task.
@@ -76,10 +76,10 @@
 		n.dropAllPeers(now, gap)
 	}
 	if n.lastUpdateAt > 0 && gap > maxGap {
-		t := &n.durable.ownership
-		t.verifyUntil, t.confirmedAt, t.gapAt = now+verifyPeriod, now, now
+		check := &n.durable.ownership
+		check.verifyUntil, check.confirmedAt, check.gapAt = now+verifyPeriod, now, now
 		n.coordinator.PauseDurable(now, n.durable.ledger.Len() > 0)
-		wake(t.wake)
+		wake(check.wake)
 	}
 	n.lastUpdateAt = now
 }
@@ -87,18 +87,18 @@
 // durableTick pauses the durable tasks while the ownership record is not confirmed, and
 // withdraws them when the confirmation is too old. The lock is held.
 func (n *Node) durableTick(now time.Duration) {
-	t := &n.durable.ownership
-	if now >= t.verifyUntil || n.durable.ledger.Len() == 0 {
-		t.confirmedAt, t.gapAt = max(t.confirmedAt, now), 0
+	check := &n.durable.ownership
+	if now >= check.verifyUntil || n.durable.ledger.Len() == 0 {
+		check.confirmedAt, check.gapAt = max(check.confirmedAt, now), 0
 	}
-	proved := t.gapAt == 0 && now-t.confirmedAt < maxConfirmationAge
-	n.coordinator.PauseDurable(now, !proved)
-	if proved {
-		t.withdrawn = false
+	confirmed := check.gapAt == 0 && now-check.confirmedAt < maxConfirmationAge
+	n.coordinator.PauseDurable(now, !confirmed)
+	if confirmed {
+		check.withdrawn = false
 		return
 	}
-	if !t.withdrawn && now-t.confirmedAt >= maxConfirmationAge {
-		t.withdrawn = true
+	if !check.withdrawn && now-check.confirmedAt >= maxConfirmationAge {
+		check.withdrawn = true
 		n.log.WithFields(logrus.Fields{"event": "title_unproved", "jobs": n.durable.ledger.Len()}).Warn()
 		n.coordinator.WithdrawDurable(now)
 	}
@@ -108,12 +108,12 @@
 func (n *Node) verifyOwnership() {
 	for n.ctx.Err() == nil {
 		n.mu.Lock()
-		began := n.clock.now()
-		needed := began < n.durable.ownership.verifyUntil && n.durable.ledger.Len() > 0
+		startedAt := n.clock.now()
+		needed := startedAt < n.durable.ownership.verifyUntil && n.durable.ledger.Len() > 0
 		key, revision := n.durable.ledger.OwnershipKey(), n.durable.ledger.OwnershipRevision()
 		n.mu.Unlock()
 		if needed && revision > 0 {
-			n.verifyOnce(began, key, revision)
+			n.verifyOnce(startedAt, key, revision)
 		}
 		select {
 		case <-n.ctx.Done():
@@ -123,7 +123,7 @@
 	}
 }
 
-func (n *Node) verifyOnce(began time.Duration, key ledger.Key, revision int64) {
+func (n *Node) verifyOnce(startedAt time.Duration, key ledger.Key, revision int64) {
 	e, err := n.platform.Ledger.Get(n.ctx, key)
 	if err != nil {
 		if n.ctx.Err() == nil {
@@ -132,16 +132,16 @@
 		return
 	}
 	n.update(func(now time.Duration) {
-		k := &n.durable
+		d := &n.durable
 		switch {
-		case k.ledger.OwnershipRevision() != revision:
+		case d.ledger.OwnershipRevision() != revision:
 		case e.Revision == revision:
-			k.ownership.confirmedAt = max(k.ownership.confirmedAt, began)
-			if began >= k.ownership.gapAt {
-				k.ownership.gapAt = 0
+			d.ownership.confirmedAt = max(d.ownership.confirmedAt, startedAt)
+			if startedAt >= d.ownership.gapAt {
+				d.ownership.gapAt = 0
 			}
 		default:
-			events := k.ledger.HandleFenced()
+			events := d.ledger.HandleFenced()
 			n.handleFenced(now)
 			n.applyLedgerEvents(now, events)
 		}
@@ -158,17 +158,17 @@
 
 // removeOwnOwnership removes this daemon's ownership record at a planned stop, so that
 // successors take over its remaining jobs at once.
-func (n *Node) removeOwnOwnership(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, removeOwnershipTimeout)
+func (n *Node) releaseOwnership(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	n.mu.Lock()
-	key, revision, left := n.durable.ledger.OwnershipKey(), n.durable.ledger.OwnershipRevision(), n.durable.ledger.Len()
+	key, revision, remaining := n.durable.ledger.OwnershipKey(), n.durable.ledger.OwnershipRevision(), n.durable.ledger.Len()
 	n.mu.Unlock()
 	if revision == 0 {
 		return
 	}
 	r, err := n.platform.Ledger.Write(ctx, ledger.OwnershipRemoval(ledger.Entry{Key: key, Revision: revision}))
-	n.log.WithFields(logrus.Fields{"event": "title_resigned", "done": err == nil && r.Revision > 0, "jobs": left}).Info()
+	n.log.WithFields(logrus.Fields{"event": "title_resigned", "done": err == nil && r.Revision > 0, "jobs": remaining}).Info()
 	n.update(func(now time.Duration) {
 		n.coordinator.DropDurableJobs()
 		n.applyLedgerEvents(now, n.durable.ledger.HandleFenced())
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -130,39 +130,39 @@
 	n.fleet.setInterval()
 	n.updateRelayRole(now)
 	n.shareSlowdowns(now)
-	p := &schema.Pulse{Leaving: n.stopping.Load(), Serving: n.table.Load() != nil, StoreLost: n.configuration.storeUnreachable(now), DocumentVersion: n.configurationVersion(), NextMs: n.fleet.interval.Milliseconds()}
-	for _, r := range n.executor.WorkerCapacities(now) {
-		p.Rooms = append(p.Rooms, &schema.Room{
-			Worker: r.Worker, Service: r.Service, Open: r.Open, Usable: r.Usable,
-			MilliCpu: r.Free.MilliCPU, MemoryMb: r.Free.MemoryMB, Gpus: r.Free.GPUs,
-			TotalMilliCpu: r.Total.MilliCPU, TotalMemoryMb: r.Total.MemoryMB, TotalGpus: r.Total.GPUs,
-			PacePercent: slowdownToWire(r.Slowdown), Tenure: r.Epoch, Token: r.Token,
+	heartbeat := &schema.Pulse{Leaving: n.stopping.Load(), Serving: n.table.Load() != nil, StoreLost: n.configuration.storeUnreachable(now), DocumentVersion: n.configurationVersion(), NextMs: n.fleet.interval.Milliseconds()}
+	for _, worker := range n.executor.WorkerCapacities(now) {
+		heartbeat.Rooms = append(heartbeat.Rooms, &schema.Room{
+			Worker: worker.Worker, Service: worker.Service, Open: worker.Open, Usable: worker.Usable,
+			MilliCpu: worker.Free.MilliCPU, MemoryMb: worker.Free.MemoryMB, Gpus: worker.Free.GPUs,
+			TotalMilliCpu: worker.Total.MilliCPU, TotalMemoryMb: worker.Total.MemoryMB, TotalGpus: worker.Total.GPUs,
+			PacePercent: slowdownToWire(worker.Slowdown), Tenure: worker.Epoch, Token: worker.Token,
 		})
 	}
-	for service, work := range n.executor.Backlog(now) {
-		p.Backlogs = append(p.Backlogs, &schema.Backlog{Service: service, CoreMs: work.WithinShare(), SurplusCoreMs: overShareToWire(work.OverShare())})
+	for service, backlog := range n.executor.Backlog(now) {
+		heartbeat.Backlogs = append(heartbeat.Backlogs, &schema.Backlog{Service: service, CoreMs: backlog.WithinShare(), SurplusCoreMs: overShareToWire(backlog.OverShare())})
 	}
-	n.reportShares(now, p)
-	p.Pending = n.ownPendingJobs()
-	p.Domains = retirementsToWire(n.fleet.retirements.List())
-	n.fleet.sync.addToHeartbeat(now, p)
+	n.reportShares(now, heartbeat)
+	heartbeat.Pending = n.ownPendingJobs()
+	heartbeat.Domains = retirementsToWire(n.fleet.retirements.List())
+	n.fleet.sync.addToHeartbeat(now, heartbeat)
 	for a := range n.fleet.peers {
-		p.Peers = append(p.Peers, a.String())
+		heartbeat.Peers = append(heartbeat.Peers, a.String())
 	}
-	return p
+	return heartbeat
 }
 
 // HandleHeartbeat implements mesh.Handler.
-func (h *peerHandler) HandleHeartbeat(p mesh.Peer, pulse *schema.Pulse) {
+func (h *peerHandler) HandleHeartbeat(p mesh.Peer, heartbeat *schema.Pulse) {
 	n := (*Node)(h)
 	if n.cellResolved.Load() {
-		n.linkNamed(pulse.GetPeers())
+		n.linkNamed(heartbeat.GetPeers())
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	// This runs also before the link is up: only the first heartbeat of a connection contains all
 	// retirements of domains, and later ones only the changes.
-	n.handleReportedRetirements(p, pulse)
+	n.handleReportedRetirements(p, heartbeat)
 	distance := otherDomain
 	if p.Domain == n.self.Domain {
 		distance = sameDomain
@@ -170,11 +170,11 @@
 	if !n.fleet.isUp(p) {
 		return
 	}
-	state := executorFromHeartbeat(p.Process, distance, pulse)
+	state := executorFromHeartbeat(p.Process, distance, heartbeat)
 	n.fleet.setDomains(state.Workers)
 	state.ReportedAt, state.Domain = n.clock.now(), p.Domain
 	n.coordinator.UpdateExecutor(state)
-	if n.fleet.handleHeartbeat(state.ReportedAt, p, pulse) {
+	if n.fleet.handleHeartbeat(state.ReportedAt, p, heartbeat) {
 		n.scheduleReassign()
 	}
 }
--- a/internal/node/quiescence.go
+++ b/internal/node/quiescence.go
@@ -70,8 +70,8 @@
 			c.pending[k.Process] = true
 		}
 	}
-	for _, l := range n.quiescence.unreachable {
-		c.leasesExpiredAt = max(c.leasesExpiredAt, l.since+leaseExpiry)
+	for _, u := range n.quiescence.unreachable {
+		c.leasesExpiredAt = max(c.leasesExpiredAt, u.since+leaseExpiry)
 	}
 	n.requestQuiescenceOfAll(now, coordinator, c)
 	n.log.WithFields(logrus.Fields{"event": "clearance_asked", "coordinator": coordinator.Address, "executors": len(c.pending)}).Info()
@@ -150,10 +150,10 @@
 // peerUnreachable notes that a peer is unreachable.
 func (c *quiescenceChecks) peerUnreachable(now time.Duration, p mesh.Peer) {
 	c.unreachable[p.Process] = unreachablePeer{now, p.Weight}
-	for _, w := range c.checks {
-		if w.pending[p.Process] {
-			delete(w.pending, p.Process)
-			w.leasesExpiredAt = max(w.leasesExpiredAt, now+leaseExpiry)
+	for _, check := range c.checks {
+		if check.pending[p.Process] {
+			delete(check.pending, p.Process)
+			check.leasesExpiredAt = max(check.leasesExpiredAt, now+leaseExpiry)
 		}
 	}
 	for _, requesters := range c.requesters {
@@ -175,8 +175,8 @@
 			n.requestQuiescenceOfAll(now, coordinator, c)
 		}
 	}
-	for coordinator, l := range n.quiescence.unreachable {
-		if now-l.since > leaseExpiry {
+	for coordinator, u := range n.quiescence.unreachable {
+		if now-u.since > leaseExpiry {
 			delete(n.quiescence.unreachable, coordinator)
 		}
 	}
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -55,7 +55,7 @@
 // callerStillThere waits after a standstill and reports whether the caller is still connected. The
 // process may read a request seconds after it was sent, when its caller has given up and sent it to
 // another daemon. Both daemons would start the job.
-func (n *Node) callerStillThere(ctx context.Context) bool {
+func (n *Node) waitAfterStandstill(ctx context.Context) bool {
 	n.clock.sync()
 	n.mu.Lock()
 	now := n.clock.now()
@@ -73,7 +73,7 @@
 
 // Run implements Dispatcher.
 func (n *Node) Run(ctx context.Context, r Request) coordinator.Answer {
-	if !n.callerStillThere(ctx) {
+	if !n.waitAfterStandstill(ctx) {
 		n.metrics.countJob("caller_left", "")
 		return coordinator.Answer{Job: r.ID, Status: coordinator.Refused, Reason: coordinator.ReasonCanceled, RetryAfter: time.Second}
 	}
--- a/internal/node/retirements.go
+++ b/internal/node/retirements.go
@@ -13,7 +13,7 @@
 
 // applyAllRetirements applies all entries that retire failure domains, as the store shows them at a
 // revision. Domains that it doesn't show have been reinstated.
-func (n *Node) applyAllRetirements(items []registry.Item, revision int64) {
+func (n *Node) applyRetirementSnapshot(items []registry.Item, revision int64) {
 	var shown []registry.Retirement
 	for _, i := range items {
 		if i.Kind == registry.RetiredDomain && n.validRetirement(i) {
@@ -49,8 +49,8 @@
 
 // handleReportedRetirements applies the retirements that a peer reports: it may reach the store when
 // this daemon can't. The lock is held.
-func (n *Node) handleReportedRetirements(p mesh.Peer, pulse *schema.Pulse) {
-	for _, d := range pulse.GetDomains() {
+func (n *Node) handleReportedRetirements(p mesh.Peer, heartbeat *schema.Pulse) {
+	for _, d := range heartbeat.GetDomains() {
 		n.applyDomainState(registry.Retirement{Domain: d.GetDomain(), Revision: d.GetRevision(), Retired: d.GetRetired()}, "peer "+p.Name)
 	}
 }
@@ -72,8 +72,8 @@
 			event = "domain_retired"
 		}
 		workers := 0
-		for _, k := range n.fleet.workers {
-			if k.info.Domain == state.Domain {
+		for _, w := range n.fleet.workers {
+			if w.info.Domain == state.Domain {
 				workers++
 			}
 		}
@@ -109,10 +109,10 @@
 
 // setDomains adds the workers' failure domains to an executor's report. Heartbeats don't contain them,
 // as each daemon knows them from the workers' entries.
-func (f *fleetView) setDomains(rooms []executor.WorkerCapacity) {
-	for i := range rooms {
-		if w := f.workers[rooms[i].Worker]; w != nil {
-			rooms[i].Domain = w.info.Domain
+func (f *fleetView) setDomains(workers []executor.WorkerCapacity) {
+	for i := range workers {
+		if w := f.workers[workers[i].Worker]; w != nil {
+			workers[i].Domain = w.info.Domain
 		}
 	}
 }
--- a/internal/node/starts.go
+++ b/internal/node/starts.go
@@ -37,7 +37,7 @@
 	*arbiter.Arbiter
 }
 
-func (a *arbiters) ask(now time.Duration, q arbiter.GrantRequest) (arbiter.Verdict, member.Process) {
+func (a *arbiters) handleRequest(now time.Duration, q arbiter.GrantRequest) (arbiter.Verdict, member.Process) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.HandleRequest(now, q)
@@ -71,9 +71,9 @@
 			list = append(list, fleet.Member{Process: k.Process, Weight: k.Weight})
 		}
 	}
-	for p, l := range n.quiescence.unreachable {
-		if k := n.fleet.peers[p.Address]; now-l.since < arbiterGrace && (k == nil || !k.up) {
-			list = append(list, fleet.Member{Process: p, Weight: l.weight})
+	for p, u := range n.quiescence.unreachable {
+		if k := n.fleet.peers[p.Address]; now-u.since < arbiterGrace && (k == nil || !k.up) {
+			list = append(list, fleet.Member{Process: p, Weight: u.weight})
 		}
 	}
 	if !n.stopping.Load() || len(list) == 0 {
@@ -92,44 +92,44 @@
 // applyStartOutputs carries out the outputs of the arbiter's client; false when there were none. The
 // lock is held.
 func (n *Node) applyStartOutputs(now time.Duration) bool {
-	o := n.starts.Drain()
-	for _, h := range o.HeldElsewhere {
+	outputs := n.starts.Drain()
+	for _, h := range outputs.HeldElsewhere {
 		n.metrics.count("jobs_held_elsewhere", "holder_in_sight", strconv.FormatBool(h.Reachable))
 		n.log.WithFields(logrus.Fields{"event": "job_held_elsewhere", "job": h.Job, "holder": h.Holder.Address, "in_sight": h.Reachable}).Info()
 	}
-	for _, m := range o.Messages {
+	for _, m := range outputs.Messages {
 		if m.To == n.self.Process {
 			n.applyStartFrame(now, n.self.Process, startToWire(m))
 		} else {
 			n.mesh.Send(m.To, startToWire(m))
 		}
 	}
-	for _, id := range o.Start {
+	for _, id := range outputs.Start {
 		n.submit(now, id)
 	}
-	for _, id := range o.Revoked {
+	for _, id := range outputs.Revoked {
 		n.log.WithFields(logrus.Fields{"event": "job_revoked", "job": id}).Warn()
 		n.metrics.count("jobs_revoked")
 		n.starts.Revoke(id)
 		n.coordinator.Cancel(now, id)
 		n.closeIfStopped(now, id)
 	}
-	for _, e := range o.Expired {
+	for _, e := range outputs.Expired {
 		a := coordinator.Answer{Job: e.Job, Status: coordinator.Refused, Reason: coordinator.ReasonNotGranted, RetryAfter: time.Second}
 		if e.MayHaveRun {
 			a.Status = coordinator.GivenUp
 		}
 		n.handleJobAnswer(a)
 	}
-	for _, p := range o.QuiescenceChecks {
+	for _, p := range outputs.QuiescenceChecks {
 		n.startQuiescenceCheck(now, p)
 	}
-	for _, id := range o.WaiterUnreachable {
+	for _, id := range outputs.WaiterUnreachable {
 		if w := n.waiters[id]; w != nil {
 			n.cancelUnwanted(now, w)
 		}
 	}
-	return len(o.Messages)+len(o.Start)+len(o.Revoked)+len(o.Expired)+len(o.WaiterUnreachable) > 0
+	return len(outputs.Messages)+len(outputs.Start)+len(outputs.Revoked)+len(outputs.Expired)+len(outputs.WaiterUnreachable) > 0
 }
 
 // submit submits a job that was granted to the coordinator.
@@ -187,18 +187,18 @@
 
 // answerStartQuery answers a request as an arbiter. It returns the verdict on this daemon's own
 // request and sends the verdict on a peer's.
-func (n *Node) answerStartQuery(now time.Duration, from member.Process, q *schema.StartQuestion) (own *schema.Frame) {
-	job := q.GetJob()
-	if q.GetReleased() {
-		n.arbiters.release(job, arbiter.Attempt{Process: from, Number: q.GetTry()})
+func (n *Node) answerStartQuery(now time.Duration, from member.Process, request *schema.StartQuestion) (ownVerdict *schema.Frame) {
+	job := request.GetJob()
+	if request.GetReleased() {
+		n.arbiters.release(job, arbiter.Attempt{Process: from, Number: request.GetTry()})
 		return nil
 	}
-	v, displaced := n.arbiters.ask(now, arbiter.GrantRequest{
-		Job: job, From: arbiter.Attempt{Process: from, Number: q.GetTry()}, GrantDuration: ms(q.GetHoldMs()),
-		NotRunning: attemptFromWire(q.GetOverAddress(), q.GetOverIncarnation(), q.GetOverTry()),
+	v, displaced := n.arbiters.handleRequest(now, arbiter.GrantRequest{
+		Job: job, From: arbiter.Attempt{Process: from, Number: request.GetTry()}, GrantDuration: ms(request.GetHoldMs()),
+		NotRunning: attemptFromWire(request.GetOverAddress(), request.GetOverIncarnation(), request.GetOverTry()),
 	})
 	if displaced.Address.IsValid() {
-		n.mesh.Send(displaced, verdictToWire(job, arbiter.Verdict{Holder: arbiter.Attempt{Process: from, Number: q.GetTry()}}))
+		n.mesh.Send(displaced, verdictToWire(job, arbiter.Verdict{Holder: arbiter.Attempt{Process: from, Number: request.GetTry()}}))
 	}
 	if from == n.self.Process {
 		return verdictToWire(job, v)
@@ -211,8 +211,8 @@
 func (n *Node) applyStartFrame(now time.Duration, from member.Process, f *schema.Frame) {
 	switch b := f.GetBody().(type) {
 	case *schema.Frame_StartQuestion:
-		if own := n.answerStartQuery(now, from, b.StartQuestion); own != nil {
-			n.applyStartFrame(now, n.self.Process, own)
+		if ownVerdict := n.answerStartQuery(now, from, b.StartQuestion); ownVerdict != nil {
+			n.applyStartFrame(now, n.self.Process, ownVerdict)
 		}
 	case *schema.Frame_StartVerdict:
 		v := b.StartVerdict
@@ -279,11 +279,11 @@
 func startToWire(m arbiter.Message) *schema.Frame {
 	switch {
 	case m.Request != nil:
-		q := &schema.StartQuestion{Job: m.Request.Job, HoldMs: m.Request.GrantDuration.Milliseconds(), Try: m.Request.From.Number}
+		request := &schema.StartQuestion{Job: m.Request.Job, HoldMs: m.Request.GrantDuration.Milliseconds(), Try: m.Request.From.Number}
 		if notRunning := m.Request.NotRunning; notRunning.Process.Address.IsValid() {
-			q.OverAddress, q.OverIncarnation, q.OverTry = notRunning.Process.Address.String(), notRunning.Process.Incarnation, notRunning.Number
+			request.OverAddress, request.OverIncarnation, request.OverTry = notRunning.Process.Address.String(), notRunning.Process.Incarnation, notRunning.Number
 		}
-		return &schema.Frame{Body: &schema.Frame_StartQuestion{StartQuestion: q}}
+		return &schema.Frame{Body: &schema.Frame_StartQuestion{StartQuestion: request}}
 	case m.Release != "":
 		return &schema.Frame{Body: &schema.Frame_StartQuestion{StartQuestion: &schema.StartQuestion{Job: m.Release, Released: true, Try: m.Attempt}}}
 	case m.Query != "":
