--- a/internal/node/allocation_test.go
+++ b/internal/node/allocation_test.go
@@ -12,8 +12,8 @@
 	"github.com/lavendercleat/lavendercleat/executor"
 )
 
-// A holder of 40 workers handles thousands of events a second on a small processor. Each event allocated
-// memory for the report of all of its workers to its own coordinator.
+// A holder of 40 workers handles thousands of events a second on a small processor. Each event
+// allocated memory for the report of all of its workers to its own coordinator.
 func TestEventsAllocateLittle(t *testing.T) {
 	n := newTestNode(t)
 	var workers []executor.WorkerInfo
--- a/internal/node/cellfeed.go
+++ b/internal/node/cellfeed.go
@@ -29,23 +29,23 @@
 	// bounds the connection attempt.
 	feedTimeout     = 200 * time.Millisecond
 	feedDialTimeout = 150 * time.Millisecond
-	// maxRootsAsked is the number of root relays that are asked before the store. Each one that does
-	// not answer makes the entries known here, and in all of the cell, older.
+	// maxRootsAsked is the number of root relays that are asked before the store. Each one that
+	// does not answer makes the entries known here, and in all of the cell, older.
 	maxRootsAsked = 2
 	// feedAckTimeout is how long a root relay may leave data unacknowledged before the connection
 	// breaks.
 	feedAckTimeout = time.Second
-	// maxRootAge bounds the age of the store's last answer to a root relay. Its own read every 0.7 s
-	// keeps the age below that. A root relay that is older refuses, and the relay asks the next root
-	// relay or the store, before the daemons that depend on the relay read by themselves.
+	// maxRootAge bounds the age of the store's last answer to a root relay. Its own read every 0.7
+	// s keeps the age below that. A root relay that is older refuses, and the relay asks the next
+	// root relay or the store, before the daemons that depend on the relay read by themselves.
 	maxRootAge = time.Second
 	// rootRetryDelay is how long a root relay that did not answer is not asked again.
 	rootRetryDelay = 5 * time.Second
 	maxFeedBody    = 8 << 20
 )
 
-// cellFeed is the feed of workers' and daemons' entries for this daemon. It reads the store or, when
-// this daemon is a relay of a divided fleet but no root relay, a root relay.
+// cellFeed is the feed of workers' and daemons' entries for this daemon. It reads the store or,
+// when this daemon is a relay of a divided fleet but no root relay, a root relay.
 type cellFeed struct {
 	n      *Node
 	client *http.Client
@@ -160,17 +160,17 @@
 	s.root, s.rootAge = root, age
 }
 
-// cachePacked caches a root relay's compressed list of all entries for the daemons of this cell that
-// request it. A new compression takes a small VM a tenth of a second.
+// cachePacked caches a root relay's compressed list of all entries for the daemons of this cell
+// that request it. A new compression takes a small VM a tenth of a second.
 func (n *Node) cachePacked(g *schema.Registry) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.fleet.sync.packed, n.fleet.sync.packedRevision = g.GetPacked(), g.GetRevision()
 }
 
-// rootFeeds returns the addresses of the root relays that this daemon asks instead of the store, best
-// first. It returns none when this daemon is a root relay itself, is no relay, or the fleet has one
-// cell.
+// rootFeeds returns the addresses of the root relays that this daemon asks instead of the store,
+// best first. It returns none when this daemon is a root relay itself, is no relay, or the fleet
+// has one cell.
 func (n *Node) rootFeeds() (feeds []netip.AddrPort) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -241,8 +241,8 @@
 	return mux
 }
 
-// awaitRead waits for a read that shows more than a revision, unless the store has not answered this
-// daemon recently.
+// awaitRead waits for a read that shows more than a revision, unless the store has not answered
+// this daemon recently.
 func (n *Node) awaitRead(ctx context.Context, after int64, wait time.Duration) {
 	n.mu.Lock()
 	s := &n.fleet.sync
@@ -265,8 +265,8 @@
 	}
 }
 
-// entriesAfter returns the changes after a revision, or all entries; nil when this daemon has not read
-// the store recently.
+// entriesAfter returns the changes after a revision, or all entries; nil when this daemon has not
+// read the store recently.
 func (n *Node) entriesAfter(after int64) *schema.Registry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/cellhandover.go
+++ b/internal/node/cellhandover.go
@@ -17,7 +17,7 @@
 	return func(id string) bool { return f.workers[id] != nil && !inside[id] }
 }
 
-// withoutHandovers returns the workers of this cell that are no longer left to the daemons of their
+// readyForTakeover returns the workers of this cell that are no longer left to the daemons of their
 // former cells. It sets reassignAt to when the next one is.
 func (f *fleetView) readyForTakeover(now time.Duration, ownCell []executor.WorkerInfo) []executor.WorkerInfo {
 	if !f.settled || f.assumeUnlinked { // the former cells of the workers are not known yet
--- a/internal/node/cellhandover_test.go
+++ b/internal/node/cellhandover_test.go
@@ -10,8 +10,8 @@
 	"github.com/lavendercleat/lavendercleat/fleet"
 )
 
-// A worker comes from another cell with runs that no coordinator here can claim. It must be taken over
-// only after the time for these to end, and then without any further change.
+// A worker comes from another cell with runs that no coordinator here can claim. It must be taken
+// over only after the time for these to end, and then without any further change.
 func TestWorkerFromAnotherCellIsTakenOverAfterDelay(t *testing.T) {
 	f := newFleetView()
 	f.settled = true
--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -7,8 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootClock is a monotonic clock that includes the time for which the VM was suspended. The operating
-// system's monotonic clock excludes it, but callers' deadlines and workers' leases continue meanwhile.
+// bootClock is a monotonic clock that includes the time for which the VM was suspended. The
+// operating system's monotonic clock excludes it, but callers' deadlines and workers' leases
+// continue meanwhile.
 type bootClock struct {
 	start time.Time
 	// suspended is the time that the monotonic clock did not count.
@@ -17,8 +18,8 @@
 	offset time.Duration
 }
 
-// minSuspension is the smallest difference that counts as a suspension: the two clocks are never read at
-// the same instant.
+// minSuspension is the smallest difference that counts as a suspension: the two clocks are never
+// read at the same instant.
 const minSuspension = 20 * time.Millisecond
 
 func newBootClock() *bootClock {
@@ -31,8 +32,8 @@
 	return time.Since(c.start) + time.Duration(c.suspended.Load())
 }
 
-// sync detects a suspension, adds it to the clock and returns its length. Each call costs a system call,
-// so the daemon calls it once per tick and not for every event.
+// sync detects a suspension, adds it to the clock and returns its length. Each call costs a system
+// call, so the daemon calls it once per tick and not for every event.
 func (c *bootClock) sync() time.Duration {
 	suspended := bootTime() - time.Since(c.start) - c.offset
 	jump := suspended - time.Duration(c.suspended.Load())
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -10,8 +10,8 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// requestNewerConfiguration asks a peer for its configuration when that is newer and the store does not
-// deliver it in time. The lock is held.
+// requestNewerConfiguration asks a peer for its configuration when that is newer and the store does
+// not deliver it in time. The caller holds the lock.
 func (n *Node) requestNewerConfiguration(now time.Duration) {
 	version := n.configurationVersion()
 	if n.fleet.newestConfiguration() <= version {
@@ -51,8 +51,8 @@
 	return newest
 }
 
-// handleConfigurationRequest sends the configuration to a peer that has an older one. A peer that gets no
-// copy asks another peer. The lock is held.
+// handleConfigurationRequest sends the configuration to a peer that has an older one. A peer that
+// gets no copy asks another peer. The caller holds the lock.
 func (n *Node) handleConfigurationRequest(now time.Duration, p mesh.Peer, r *schema.DocumentRequest) {
 	t := n.table.Load()
 	if t == nil || r.GetVersion() >= t.Version || !n.configuration.copyLimiter.Allow(now, len(n.configuration.content)) {
--- a/internal/node/convert.go
+++ b/internal/node/convert.go
@@ -156,8 +156,8 @@
 	return uint32(min(max(math.Round(100*slowdown), 0), maxSlowdownPercent))
 }
 
-// maxSlowdownPercent bounds the slowdown that heartbeats report. A worker that takes a hundred times as
-// long as declared is as useless as a slower one.
+// maxSlowdownPercent bounds the slowdown that heartbeats report. A worker that takes a hundred
+// times as long as declared is as useless as a slower one.
 const maxSlowdownPercent = 10000
 
 // executorFromHeartbeat returns the state of a peer's executor, by its heartbeat.
--- a/internal/node/demands.go
+++ b/internal/node/demands.go
@@ -8,8 +8,8 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// reportShares adds the demand of this daemon's callers to a heartbeat. It publishes demands and shares
-// in the metrics.
+// reportShares adds the demand of this daemon's callers to a heartbeat. It publishes demands and
+// shares in the metrics.
 func (n *Node) reportShares(now time.Duration, heartbeat *schema.Pulse) {
 	queues := n.coordinator.ShareStates(now)
 	n.metrics.publishShares(queues)
@@ -46,8 +46,8 @@
 	overShareRefusals = "lavendercleat_surplus_refusals_total"
 )
 
-// publishShare publishes a queue's demand and share in this failure domain, and this daemon's jobs over
-// the share.
+// publishShare publishes a queue's demand and share in this failure domain, and this daemon's jobs
+// over the share.
 func (m *metricSet) publishShare(labels string, s coordinator.ShareState) {
 	m.set.GetOrCreateGauge(queueDemand+labels, nil).Set(s.Demand / 1000)
 	m.set.GetOrCreateGauge(queueShare+labels, nil).Set(s.Share / 1000)
--- a/internal/node/durable.go
+++ b/internal/node/durable.go
@@ -17,8 +17,8 @@
 	// resendPeriod is the time after which callers that lost an answer have certainly sent their
 	// job again: the platform specifies 1.3 s.
 	resendPeriod = 5 * time.Second
-	// confirmTimeout bounds the read of the store before a refusal, which the daemon has to send
-	// at once. The store answers within some milliseconds.
+	// confirmTimeout bounds the read of the store before a refusal, which the daemon has to send at
+	// once. The store answers within some milliseconds.
 	confirmTimeout = 100 * time.Millisecond
 	// stateMargin is added to the time for which callers can query the state of ended jobs.
 	stateMargin = 30 * time.Second
@@ -80,7 +80,7 @@
 }
 
 // confirmRefusal checks that no other daemon accepted a job that this daemon refuses. The caller
-// may have lost the other daemon's answer, and would learn that a job never runs which does. Owners
+// may have lost the other daemon's answer, and would learn wrongly that the job never runs. Owners
 // report to each other which jobs they have stored. Only a peer that was lost recently may have
 // failed to report a job; then, without an answer of the store, the result is uncertain.
 func (n *Node) confirmRefusal(ctx context.Context, job string, refusal Acceptance) Acceptance {
@@ -95,14 +95,14 @@
 			return refusal
 		}
 	}
-	if n.lostPeerRecently() {
+	if n.peerLostRecently() {
 		return Acceptance{Verdict: Uncertain, Reason: refusal.Reason}
 	}
 	return refusal
 }
 
-// lostPeerRecently reports whether a peer was lost within resendPeriod.
-func (n *Node) lostPeerRecently() bool {
+// peerLostRecently reports whether a peer was lost within resendPeriod.
+func (n *Node) peerLostRecently() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.clock.now() < n.durable.ownership.verifyUntil-verifyPeriod+resendPeriod
@@ -119,8 +119,8 @@
 	}
 }
 
-// addDurable adds a new job to the ledger and returns its waiting caller, or returns the
-// result where it is known at once. The lock is held.
+// addDurable adds a new job to the ledger and returns its waiting caller, or returns the result
+// where it is known at once. The caller holds the lock.
 func (n *Node) addDurable(now time.Duration, r Request) (*caller, Acceptance) {
 	d := &n.durable
 	if d.states.get(r.ID) != 0 || d.ledger.Accepted(r.ID) {
@@ -151,13 +151,13 @@
 }
 
 // storeFailing reports whether the store is known not to answer. The time since its last answer
-// alone doesn't show it: this process may have stood still itself, and would refuse jobs that
-// the store can accept. The lock is held.
+// alone doesn't show it: this process may have stood still itself, and would refuse jobs that the
+// store can accept. The caller holds the lock.
 func (n *Node) storeFailing(now time.Duration) bool {
 	return n.configuration.storeUnreachable(now) && n.fleet.storeFailedAt > n.configuration.answeredAt
 }
 
-// markLedgerInUse notes that the fleet has durable jobs. The lock is held.
+// markLedgerInUse notes that the fleet has durable jobs. The caller holds the lock.
 func (n *Node) markLedgerInUse() {
 	if !n.durable.inUse {
 		n.durable.inUse = true
@@ -165,7 +165,7 @@
 	}
 }
 
-// addCaller registers a caller that waits for a job. The lock is held.
+// addCaller registers a caller that waits for a job. The caller holds the lock.
 func (n *Node) addCaller(id string, forEnd bool) *caller {
 	c := &caller{done: make(chan struct{}), forEnd: forEnd}
 	n.durable.waitingCallers[id] = append(n.durable.waitingCallers[id], c)
@@ -193,8 +193,8 @@
 	return c.event
 }
 
-// notifyCallers passes an event to a job's callers. Callers that wait for the job's end don't
-// get the event that it is stored.
+// notifyCallers passes an event to a job's callers. Callers that wait for the job's end don't get
+// the event that it is stored.
 func (n *Node) notifyCallers(id string, kind ledger.EventKind) {
 	var rest []*caller
 	for _, c := range n.durable.waitingCallers[id] {
@@ -233,7 +233,8 @@
 	return state, err
 }
 
-// localState returns the state of a job as far as this daemon knows; 0: unknown. The lock is held.
+// localState returns the state of a job as far as this daemon knows; 0: unknown. The caller holds
+// the lock.
 func (n *Node) localState(id string) ledger.State {
 	if n.waiters[id] != nil || n.coordinator.HasStarted(id) {
 		return ledger.Running
@@ -258,8 +259,8 @@
 	return count * n.fleet.cells.Count()
 }
 
-// ownPendingJobs counts this daemon's durable jobs that have not started, by queue. The lock is
-// held.
+// ownPendingJobs counts this daemon's durable jobs that have not started, by queue. The caller
+// holds the lock.
 func (n *Node) ownPendingJobs() map[string]uint32 {
 	counts := make(map[string]uint32)
 	n.coordinator.EachDurableJob(func(id string, started bool) {
@@ -295,8 +296,8 @@
 	return CancelUncertain
 }
 
-// cancelStored cancels a job of another daemon in the store; done is false when the caller has
-// to retry.
+// cancelStored cancels a job of another daemon in the store; done is false when the caller has to
+// retry.
 func (n *Node) cancelStored(ctx context.Context, id string) (out Cancellation, done bool) {
 	record, err := n.platform.Ledger.Get(ctx, ledger.Key{Kind: ledger.RecordEntry, ID: id})
 	if err != nil {
--- a/internal/node/durable_test.go
+++ b/internal/node/durable_test.go
@@ -35,8 +35,8 @@
 	return ledger.Entry{}, ledger.ErrOutcomeUnknown
 }
 
-// The daemon stops while the store does not answer. Callers that query or cancel a job must be answered
-// then, and not delay the stop until their own wait limit.
+// The daemon stops while the store does not answer. Callers that query or cancel a job must be
+// answered then, and not delay the stop until their own wait limit.
 func TestStopAnswersCallersThatWaitForStore(t *testing.T) {
 	n := newTestNode(t)
 	n.serving, n.stopServing = context.WithCancel(context.Background())
@@ -73,8 +73,8 @@
 	assert.Equal(t, a.Reason, coordinator.ReasonStopping)
 }
 
-// A caller lost the answer of a daemon that accepted its job, and sends the job again to a daemon that is
-// about to stop and accepts none. "Not accepted" would be wrong.
+// A caller lost the answer of a daemon that accepted its job, and sends the job again to a daemon
+// that is about to stop and accepts none. "Not accepted" would be wrong.
 func TestRefusalIsCheckedAgainstStore(t *testing.T) {
 	n := newTestNode(t)
 	n.closing.Store(true)
@@ -96,9 +96,9 @@
 	assert.Assert(t, time.Since(began) < 5*confirmTimeout, "a refusal is sent at once")
 }
 
-// A VM stood still with a request in its socket. The caller has hung up and sent the job to another daemon
-// when the process reads the request: the job must not start here too. A caller that is still connected
-// must be served.
+// A VM stood still with a request in its socket. The caller has hung up and sent the job to another
+// daemon when the process reads the request: the job must not start here too. A caller that is
+// still connected must be served.
 func TestRequestOfDepartedCallerIsNotStartedAfterStandstill(t *testing.T) {
 	n := newTestNode(t)
 	n.serving, n.stopServing = context.WithCancel(context.Background())
--- a/internal/node/entries.go
+++ b/internal/node/entries.go
@@ -18,23 +18,24 @@
 	// missingGrace is how long an entry may be missing after an outage of the store. Live workers
 	// write theirs again within about two seconds of the store's return.
 	missingGrace = 2500 * time.Millisecond
-	// outagePeriod is how long after a failure of the store the daemon attributes missing entries to
-	// that failure: their leases may have expired.
+	// outagePeriod is how long after a failure of the store the daemon attributes missing entries
+	// to that failure: their leases may have expired.
 	outagePeriod = 5 * time.Second
 	// removedDaemonGrace is how long a daemon whose entry was deleted still counts for the division
-	// into cells and their shares of the workers. It may be about to restart, or all entries may have
-	// expired in an outage of the store. Each change moves workers between cells.
+	// into cells and their shares of the workers. It may be about to restart, or all entries may
+	// have expired in an outage of the store. Each change moves workers between cells.
 	removedDaemonGrace = 15 * time.Second
-	// removedWorkerMemory is how long the daemon remembers the deletion of a worker's entry. Entries
-	// that another daemon read before the deletion may arrive after it, and a daemon that was cut off
-	// asks for the deletions that it missed.
+	// removedWorkerMemory is how long the daemon remembers the deletion of a worker's entry.
+	// Entries that another daemon read before the deletion may arrive after it, and a daemon that
+	// was cut off asks for the deletions that it missed.
 	removedWorkerMemory = time.Minute
 )
 
 // knownWorker is a worker's registry entry.
 type knownWorker struct {
 	info executor.WorkerInfo
-	// revision is the entry's revision, changedRevision that of its last change other than a renewal.
+	// revision is the entry's revision, changedRevision that of its last change other than a
+	// renewal.
 	revision, changedRevision int64
 	// missingSince is when the entry disappeared after an outage of the store, and missingRevision
 	// the revision of that deletion; 0: the entry exists.
@@ -63,8 +64,8 @@
 	removedAt                  time.Duration
 }
 
-// applyEntries applies the entries of workers and daemons that this daemon has read itself, and sends
-// the changes to peers. The lock is held.
+// applyEntries applies the entries of workers and daemons that this daemon has read itself, and
+// sends the changes to peers. The caller holds the lock.
 func (n *Node) applyEntries(now time.Duration, items []registry.Item) {
 	f := &n.fleet
 	var workers, daemons []registry.Item
@@ -86,8 +87,8 @@
 	n.sendChanges()
 }
 
-// applyWorkers applies entries of workers and reports whether the workers have to be assigned anew.
-// gone decides whether a worker whose entry was deleted has left.
+// applyWorkers applies entries of workers and reports whether the workers have to be reassigned.
+// hasLeft decides whether a worker whose entry was deleted has left.
 func (n *Node) applyWorkers(now time.Duration, items []registry.Item, hasLeft func(id string) bool) bool {
 	f := &n.fleet
 	changed, before := false, len(f.workers)
@@ -119,7 +120,7 @@
 	return w != nil && i.Revision < w.revision || i.Revision < f.removedWorkers[i.ID].revision
 }
 
-// applyWorker applies one entry and reports whether the workers have to be assigned anew.
+// applyWorker applies one entry and reports whether the workers have to be reassigned.
 func (n *Node) applyWorker(i registry.Item) bool {
 	f := &n.fleet
 	known := f.workers[i.ID]
@@ -130,8 +131,9 @@
 		if known == nil {
 			return false
 		}
-		// An invalid entry in a worker's place, from another writer, describes no usable worker. Runs
-		// there may go on, so the worker counts as draining until its own entry is valid again.
+		// An invalid entry in a worker's place, from another writer, describes no usable worker.
+		// Runs there may go on, so the worker counts as draining until its own entry is valid
+		// again.
 		info = known.info
 		info.Draining = true
 	}
@@ -167,8 +169,8 @@
 	f.sync.addChange(registry.Item{Kind: registry.Worker, ID: id, Revision: revision, Deleted: true})
 }
 
-// entryMissing notes that a worker's entry was deleted and reports whether the worker has left. After
-// a recent outage of the store the entry may only have expired.
+// entryMissing notes that a worker's entry was deleted and reports whether the worker has left.
+// After a recent outage of the store the entry may only have expired.
 func (f *fleetView) entryMissing(now time.Duration, id string) bool {
 	w := f.workers[id]
 	if f.storeFailedAt > 0 && now-f.storeFailedAt < outagePeriod {
@@ -199,7 +201,8 @@
 	return changed
 }
 
-// applyDaemons applies entries of daemons and links those of this daemon's cell. The lock is held.
+// applyDaemons applies entries of daemons and links those of this daemon's cell. The caller holds
+// the lock.
 func (n *Node) applyDaemons(now time.Duration, items []registry.Item) {
 	f := &n.fleet
 	for _, i := range items {
--- a/internal/node/entrysync.go
+++ b/internal/node/entrysync.go
@@ -20,8 +20,8 @@
 type entrySync struct {
 	// knownRevision is the store's revision up to which this daemon knows all changes.
 	knownRevision int64
-	// storeAnsweredAt is the time of the store's answer that this daemon last read, itself or from a
-	// root relay, and appliedAt when it applied that answer. upToDateAt is when it last knew all
+	// storeAnsweredAt is the time of the store's answer that this daemon last read, itself or from
+	// a root relay, and appliedAt when it applied that answer. upToDateAt is when it last knew all
 	// changes, from its own reads or from a relay.
 	storeAnsweredAt, appliedAt, upToDateAt time.Duration
 	planner                                registry.SyncPlanner
@@ -71,7 +71,7 @@
 	return &schema.EntryRecord{Kind: uint32(i.Kind), Id: i.ID, Content: i.Content, Revision: i.Revision, Deleted: i.Deleted}
 }
 
-// updateRelayRole determines whether this daemon is a relay. The lock is held.
+// updateRelayRole determines whether this daemon is a relay. The caller holds the lock.
 func (n *Node) updateRelayRole(now time.Duration) {
 	s := &n.fleet.sync
 	if !n.cellResolved.Load() {
@@ -128,8 +128,8 @@
 	}
 }
 
-// handleHeartbeat handles the relay state in a peer's heartbeat. A relay takes no changes from other
-// relays, as it would have to pass them on.
+// handleHeartbeat handles the relay state in a peer's heartbeat. A relay takes no changes from
+// other relays, as it would have to pass them on.
 func (s *entrySync) handleHeartbeat(now time.Duration, k *knownPeer, heartbeat *schema.Pulse) {
 	k.reported = registry.RelayState{Revision: heartbeat.GetRegistryRevision(), Term: heartbeat.GetRegistryTerm(), Age: ms(heartbeat.GetRegistryAgeMs())}
 	if s.isRelay {
@@ -142,7 +142,7 @@
 	}
 }
 
-// nextSyncStep returns the revision up to which this daemon knows all changes, and how it is to
+// nextSyncAction returns the revision up to which this daemon knows all changes, and how it is to
 // learn of later ones.
 func (n *Node) nextSyncAction() (knownRevision int64, action registry.SyncAction) {
 	n.mu.Lock()
@@ -190,7 +190,7 @@
 }
 
 // sendChanges sends the changes to all peers. At the start of a term it also announces that changes
-// will follow. The lock is held.
+// will follow. The caller holds the lock.
 func (n *Node) sendChanges() {
 	s := &n.fleet.sync
 	if len(s.changes) == 0 && (!s.isRelay || s.announcedTerm == s.term) {
@@ -211,7 +211,7 @@
 }
 
 // announceChangesTo tells a newly linked peer that this relay sends it the changes from now on. The
-// lock is held.
+// caller holds the lock.
 func (n *Node) announceChangesTo(p member.Process) {
 	if s := &n.fleet.sync; s.isRelay && s.announcedTerm == s.term {
 		n.sendChangesTo(p)
@@ -219,7 +219,7 @@
 }
 
 // requestEntries asks a relay for the entries that this daemon lacks, unless it has an up-to-date
-// relay already. The lock is held.
+// relay already. The caller holds the lock.
 func (n *Node) requestEntries(now time.Duration) {
 	s := &n.fleet.sync
 	storeUnreachable, awaitsRelays := n.configuration.storeUnreachable(now), n.awaitsRelays(now)
@@ -238,7 +238,7 @@
 
 // handleRegistryRequest sends a peer the changes since the revision that it knows, or all entries
 // when this relay no longer remembers all deletions since then. A peer that gets no answer asks
-// another relay. The lock is held.
+// another relay. The caller holds the lock.
 func (n *Node) handleRegistryRequest(now time.Duration, p mesh.Peer, request *schema.RegistryRequest) {
 	s, since := &n.fleet.sync, request.GetRevision()
 	if !s.isRelay || s.appliedAt <= s.termStartedAt || since >= s.knownRevision {
@@ -257,7 +257,7 @@
 }
 
 // allPacked returns all entries, compressed. After a loss of power all daemons of the cell ask for
-// them at once. The lock is held.
+// them at once. The caller holds the lock.
 func (n *Node) allPacked() []byte {
 	s := &n.fleet.sync
 	if s.packedRevision == s.knownRevision {
@@ -302,7 +302,7 @@
 	return list
 }
 
-// handleRegistry applies entries that a relay has read in the store. The lock is held.
+// handleRegistry applies entries that a relay has read in the store. The caller holds the lock.
 func (n *Node) handleRegistry(now time.Duration, p mesh.Peer, update *schema.Registry) {
 	s := &n.fleet.sync
 	if s.isRelay {
@@ -341,7 +341,7 @@
 		s.knownRevision = update.GetRevision()
 		relay.stream.HandleCopy(update.GetTerm())
 	}
-	// The relay decided whether a worker has left or its entry has only lapsed.
+	// The relay decided whether a worker has left or its entry has only expired.
 	changed := n.applyWorkers(now, workers, func(string) bool { return true })
 	if len(daemons) > 0 {
 		n.applyDaemons(now, daemons)
--- a/internal/node/fleetview.go
+++ b/internal/node/fleetview.go
@@ -27,13 +27,13 @@
 	// worker. The process meets an established peer one round trip after its dial, within some ms;
 	// the rest of the time is for the dials to all peers on a small VM.
 	startingSettleTimeout = 100 * time.Millisecond
-	// assumePeriod is how long after its start a daemon counts registered daemons as members that
-	// it is not linked with yet. All may have lost power at once and start within 0.3 s of each
-	// other. Each daemon then takes only its own part of the workers.
+	// assumePeriod is how long after its start a daemon counts registered daemons as members before
+	// it is linked with them. All may have lost power at once and start within 0.3 s of each other.
+	// Each daemon then takes only its own part of the workers.
 	assumePeriod = time.Second
 	// assemblePeriod is how long after its start a daemon waits for reports on most workers before
-	// it refuses jobs for lack of free capacity. It bounds the wait when no daemon takes some of the
-	// workers.
+	// it refuses jobs for lack of free capacity. It bounds the wait when no daemon takes some of
+	// the workers.
 	assemblePeriod = 3 * time.Second
 	// dropInterval is the pause between checks of all entries for those that have been missing for
 	// too long. In a large fleet a check at each tick would take a part of a busy daemon's time.
@@ -71,8 +71,8 @@
 	workers map[string]*knownWorker
 	// removedWorkers holds the deletions of workers' entries for removedWorkerMemory.
 	removedWorkers map[string]removedWorker
-	// daemons are the other daemons' registry entries, by name; removedDaemons counts those of
-	// them that were deleted.
+	// daemons are the other daemons' registry entries, by name; removedDaemons counts those of them
+	// that were deleted.
 	daemons        map[string]*knownDaemon
 	removedDaemons int
 	// cells divides large fleets; cell is the index of this daemon's cell.
@@ -86,8 +86,8 @@
 	daemonsReadAt time.Duration
 	// dropAt is when the next check for entries that have been missing for too long is due.
 	dropAt time.Duration
-	// reassignDue: the next tick assigns the workers anew. reassignAt is when a tick does so
-	// without any change; 0: never.
+	// reassignDue: the next tick reassigns the workers. reassignAt is when a tick does so without
+	// any change; 0: never.
 	reassignDue bool
 	reassignAt  time.Duration
 	// interval is the time between this daemon's heartbeats, as last reported to peers.
@@ -117,7 +117,8 @@
 	return k != nil && k.up && k.Incarnation == p.Incarnation
 }
 
-// handleHeartbeat applies a peer's heartbeat and reports whether it changes the assignment of workers.
+// handleHeartbeat applies a peer's heartbeat and reports whether it changes the assignment of
+// workers.
 func (f *fleetView) handleHeartbeat(now time.Duration, p mesh.Peer, heartbeat *schema.Pulse) bool {
 	k := f.peers[p.Address]
 	leaving := heartbeat.GetLeaving()
@@ -295,7 +296,7 @@
 // maySettle reports whether a new process may take over workers. A coordinator without a link to it
 // could not claim its runs there, and the process would stop them. So it waits for links to all
 // daemons. It waits only briefly for daemons that may have lost power too, as they have no runs.
-// metElder: it has met an established daemon.
+// metEstablished: it has met an established daemon.
 func (n *Node) maySettle(now time.Duration, metEstablished bool) bool {
 	f := &n.fleet
 	waitLimit := listedSettleTimeout
@@ -312,12 +313,13 @@
 	}
 }
 
-// scheduleReassign makes the next tick assign the workers anew. Changes arrive in bursts, at a start
-// a new peer every few ms, and an assignment of a thousand workers takes a small VM several ms. The
-// lock is held.
+// scheduleReassign makes the next tick reassign the workers. Changes arrive in bursts, at a start a
+// new peer every few ms, and an assignment of a thousand workers takes a small VM several ms. The
+// caller holds the lock.
 func (n *Node) scheduleReassign() { n.fleet.reassignDue = true }
 
-// assignWorkers assigns the workers to the members that this daemon knows. The lock is held.
+// assignWorkers assigns the workers to the members that this daemon knows. The caller holds the
+// lock.
 func (n *Node) assignWorkers(now time.Duration) {
 	f := &n.fleet
 	f.reassignDue = false
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -15,15 +15,17 @@
 
 const (
 	// followInterval is the minimum time between watches of the store, where workers write all the
-	// time. It bounds how late the daemon notices a change of the configuration and a leaving worker.
+	// time. It bounds how late the daemon notices a change of the configuration and a leaving
+	// worker.
 	followInterval = 600 * time.Millisecond
-	// followWait is how long a watch waits. Together with followInterval and the time-out of a call it
-	// bounds how late the daemon notices a broken watch.
+	// followWait is how long a watch waits. Together with followInterval and the time-out of a call
+	// it bounds how late the daemon notices a broken watch.
 	followWait = 700 * time.Millisecond
-	// configurationWait is the same for the configuration, which may stay unchanged for minutes. Each
-	// watch that ends without a change has a cost.
+	// configurationWait is the same for the configuration, which may stay unchanged for minutes.
+	// Each watch that ends without a change has a cost.
 	configurationWait = 1100 * time.Millisecond
-	// configurationPause bounds the rate of calls when the configuration changes in quick succession.
+	// configurationPause bounds the rate of calls when the configuration changes in quick
+	// succession.
 	configurationPause = 150 * time.Millisecond
 	storeRetryDelay    = 250 * time.Millisecond
 	// storeLostAfter is the time without an answer of the store after which the daemon asks peers.
@@ -32,8 +34,8 @@
 	renewalsPerTTL = 3
 )
 
-// configurationState is the configuration in force and the state of its source, the store. Guarded by
-// the node's lock.
+// configurationState is the configuration in force and the state of its source, the store. Guarded
+// by the node's lock.
 type configurationState struct {
 	content []byte
 	// answeredAt is when the store last answered.
@@ -100,8 +102,8 @@
 	return revision
 }
 
-// HandleSnapshot applies a complete list of entries. Entries that it doesn't contain were deleted, or
-// have expired in an outage of the store.
+// HandleSnapshot applies a complete list of entries. Entries that it doesn't contain were deleted,
+// or have expired in an outage of the store.
 func (f follower) HandleSnapshot(items []registry.Item, revision int64) {
 	listed := make(map[registry.Kind]map[string]bool)
 	for _, i := range items {
@@ -164,8 +166,8 @@
 // HandleError notes that a call to the store failed.
 func (f follower) HandleError(err error) { f.n.storeFailed("follow", err) }
 
-// applyConfiguration puts a configuration in force if it is newer than the one in force. Copies from
-// peers and late answers never bring back an older one.
+// applyConfiguration puts a configuration in force if it is newer than the one in force. Copies
+// from peers and late answers never bring back an older one.
 func (n *Node) applyConfiguration(content []byte, source string) {
 	t, err := n.platform.DecodeConfiguration(content)
 	if err != nil {
--- a/internal/node/interfaces.go
+++ b/internal/node/interfaces.go
@@ -13,8 +13,8 @@
 
 // Workers sends orders to workers.
 type Workers interface {
-	// Do sends one order and returns what the answer proves. It returns within the order's
-	// own time-out.
+	// Do sends one order and returns what the answer proves. It returns within the order's own
+	// time-out.
 	Do(ctx context.Context, c executor.Call) executor.Answer
 	// Forget drops the state that it keeps for a worker that has left.
 	Forget(worker string)
@@ -42,18 +42,18 @@
 type Dispatcher interface {
 	// Table returns the configuration in force; nil before the first.
 	Table() *routing.Table
-	// AwaitTable returns the configuration in force. A process that has just started waits for
-	// its first one until ctx ends; nil when none arrives in time.
+	// AwaitTable returns the configuration in force. A process that has just started waits for its
+	// first one until ctx ends; nil when none arrives in time.
 	AwaitTable(ctx context.Context) *routing.Table
-	// Run runs a job and returns its answer. When ctx ends, the caller has left and Run cancels
-	// the job.
+	// Run runs a job and returns its answer. When ctx ends, the caller has left and Run cancels the
+	// job.
 	Run(ctx context.Context, r Request) coordinator.Answer
 	// AcceptDurable accepts a durable job: it is stored when AcceptDurable returns Accepted.
 	AcceptDurable(ctx context.Context, r Request) Acceptance
 	// Cancel ends a job, whichever daemon runs it.
 	Cancel(ctx context.Context, id string) Cancellation
-	// State returns the state of a durable job, or of a job that runs here. It is 0 when there
-	// is no such job; an error means that the store did not answer.
+	// State returns the state of a durable job, or of a job that runs here. It is 0 when there is
+	// no such job; an error means that the store did not answer.
 	State(ctx context.Context, id string) (ledger.State, error)
 	// PendingJobs returns the number of durable jobs of a queue that have not started, at all
 	// daemons. Each daemon reports its own number in its heartbeats.
--- a/internal/node/ledgerwrites.go
+++ b/internal/node/ledgerwrites.go
@@ -19,8 +19,8 @@
 	writeShare = 0.75
 	// writeBurst is the number of writes that may start at once after a pause.
 	writeBurst = 4
-	// maxWrites bounds the writes in flight. A slow store needs more of them for the same number
-	// of jobs. They are for different jobs, so they don't conflict.
+	// maxWrites bounds the writes in flight. A slow store needs more of them for the same number of
+	// jobs. They are for different jobs, so they don't conflict.
 	maxWrites = 4
 	// writeRetryDelay is the pause after a failed write.
 	writeRetryDelay = 100 * time.Millisecond
@@ -44,7 +44,7 @@
 	n.durable.ledger.End(now, a.Job, state)
 }
 
-// startWrites starts the writes that are due. The lock is held.
+// startWrites starts the writes that are due. The caller holds the lock.
 func (n *Node) startWrites(now time.Duration) {
 	d := &n.durable
 	gap := n.writeInterval()
@@ -98,8 +98,8 @@
 	})
 }
 
-// applyLedgerEvents handles the results of writes for jobs, and reports states to peers. The lock
-// is held.
+// applyLedgerEvents handles the results of writes for jobs, and reports states to peers. The caller
+// holds the lock.
 func (n *Node) applyLedgerEvents(now time.Duration, events []ledger.Event) {
 	var reported []*schema.JobState
 	for _, event := range events {
@@ -165,7 +165,7 @@
 	return make([]coordinator.Progress, tasks)
 }
 
-// handleJobStates handles a peer's report of states that it has stored. The lock is held.
+// handleJobStates handles a peer's report of states that it has stored. The caller holds the lock.
 func (n *Node) handleJobStates(now time.Duration, p mesh.Peer, states []*schema.JobState) {
 	n.markLedgerInUse()
 	for _, s := range states {
@@ -179,7 +179,8 @@
 }
 
 // lookUpJobStates reads the states of the jobs of unacknowledged completions from the store, so
-// that the executor can acknowledge completions of jobs that are not durable. The lock is held.
+// that the executor can acknowledge completions of jobs that are not durable. The caller holds the
+// lock.
 func (n *Node) lookUpJobStates(now time.Duration, jobs []string) {
 	d := &n.durable
 	if d.lookupInFlight || now < d.lookedUpAt+writeRetryDelay {
@@ -204,8 +205,8 @@
 	})
 }
 
-// readJobStates lists the records of the jobs that have not ended, and reads the states of the other
-// jobs one by one. A process that knows of no durable jobs lists the states as well.
+// readJobStates lists the records of the jobs that have not ended, and reads the states of the
+// other jobs one by one. A process that knows of no durable jobs lists the states as well.
 func (n *Node) readJobStates(jobs []string, inUse bool) (map[string]executor.JobState, error) {
 	records, err := n.platform.Ledger.List(n.ctx, ledger.RecordEntry)
 	if err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -26,8 +26,8 @@
 	Name string
 	// Domain is the failure domain.
 	Domain string
-	// Cores is the processor share that the VM gives the daemon; 0: not known. Daemons divide
-	// the workers in proportion to it.
+	// Cores is the processor share that the VM gives the daemon; 0: not known. Daemons divide the
+	// workers in proportion to it.
 	Cores float64
 	// FirstStart: all daemons start for the first time, and none has a registry entry yet.
 	FirstStart bool
@@ -38,11 +38,11 @@
 	// Seeds are addresses of peers to try first.
 	Seeds []netip.AddrPort
 	// FeedPort is the port on which the daemon serves the registry entries that it has read to
-	// relays of other cells. It is the same on all VMs; 0: the daemon serves none, and every
-	// relay reads the store.
+	// relays of other cells. It is the same on all VMs; 0: the daemon serves none, and every relay
+	// reads the store.
 	FeedPort uint16
-	// Lease is how long each order extends a worker's lease on its runs. MaxLease and StopWithin are
-	// the workers' own bounds.
+	// Lease is how long each order extends a worker's lease on its runs. MaxLease and StopWithin
+	// are the workers' own bounds.
 	Lease, MaxLease, StopWithin time.Duration
 	// EntryTTL is the time to live of the daemon's registry entry after its last renewal.
 	EntryTTL time.Duration
@@ -132,10 +132,10 @@
 	return n, nil
 }
 
-// tokenSource returns fencing tokens that grow with the time of day and differ between
-// daemons. They need no store, so a daemon can take over a worker while the store is
-// unreachable. A difference between two daemons' clocks delays a takeover by at most that
-// difference. The tokens fit into 53 bits, as some JSON readers store numbers as floating point.
+// tokenSource returns fencing tokens that grow with the time of day and differ between daemons.
+// They need no store, so a daemon can take over a worker while the store is unreachable. A
+// difference between two daemons' clocks delays a takeover by at most that difference. The tokens
+// fit into 53 bits, as some JSON readers store numbers as floating point.
 func tokenSource(incarnation uint64) func() uint64 {
 	const processBits = 12
 	return func() uint64 {
@@ -159,9 +159,9 @@
 	return nil
 }
 
-// Drain is the first part of a planned stop. The daemon continues to serve until the load
-// balancer has noticed the stop, while its peers take over its workers. Then it waits for the
-// jobs in flight.
+// Drain is the first part of a planned stop. The daemon continues to serve until the load balancer
+// has noticed the stop, while its peers take over its workers. Then it waits for the jobs in
+// flight.
 func (n *Node) Drain(ctx context.Context) {
 	n.stopping.Store(true)
 	n.log.WithField("event", "stopping").Info()
@@ -178,9 +178,8 @@
 	n.answerAll()
 }
 
-// whileServing returns a context that ends with the caller's and when the daemon stops
-// serving. A call to a store that does not answer would otherwise delay the stop beyond its
-// time-out.
+// whileServing returns a context that ends with the caller's and when the daemon stops serving. A
+// call to a store that does not answer would otherwise delay the stop beyond its time-out.
 func (n *Node) whileServing(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(n.serving, cancel)
@@ -203,8 +202,8 @@
 	}
 }
 
-// answerAll answers all waiting callers: a job that takes longer than the grace time also gets
-// an answer. The daemon refuses jobs that arrive later.
+// answerAll answers all waiting callers: a job that takes longer than the grace time also gets an
+// answer. The daemon refuses jobs that arrive later.
 func (n *Node) answerAll() {
 	n.update(func(now time.Duration) {
 		for id := range n.waiters {
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// removeOwnershipTimeout bounds the removal of this daemon's ownership record at a planned
-	// stop. The platform kills a process that takes longer than its grace time; without the
-	// removal successors only take over later.
+	// releaseTimeout bounds the removal of this daemon's ownership record at a planned stop. The
+	// platform kills a process that takes longer than its grace time; without the removal
+	// successors only take over later.
 	releaseTimeout = 250 * time.Millisecond
 	// maxConfirmationAge bounds the age of the confirmation that this daemon's ownership record
-	// exists, while peers are unreachable. Together with the time for a stop and a lease it is
-	// less than the time that a successor waits before it restarts a task.
+	// exists, while peers are unreachable. Together with the time for a stop and a lease it is less
+	// than the time that a successor waits before it restarts a task.
 	maxConfirmationAge = 2 * time.Second
 	// verifyInterval is the time between two reads of the ownership record.
 	verifyInterval = 700 * time.Millisecond
-	// verifyPeriod is how long after the loss of a peer this daemon verifies its ownership
-	// record. That peer may have found this daemon unreachable too, and removed its record.
+	// verifyPeriod is how long after the loss of a peer this daemon verifies its ownership record.
+	// That peer may have found this daemon unreachable too, and removed its record.
 	verifyPeriod = 30 * time.Second
 	// maxGap is how long the state machines may stand still before this daemon has to verify its
 	// ownership record. It may have been frozen, and its peers may have found it unreachable.
@@ -41,8 +41,8 @@
 	wake      chan struct{}
 }
 
-// writeOwnership writes this daemon's ownership record. When the store does not report whether
-// an earlier write took effect, a read finds the record.
+// writeOwnership writes this daemon's ownership record. When the store does not report whether an
+// earlier write took effect, a read finds the record.
 func (n *Node) writeOwnership() error {
 	key := n.durable.ledger.OwnershipKey()
 	r, err := n.platform.Ledger.Write(n.ctx, ledger.Change{
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// detectGap detects that this process has stood still. The lock is held.
+// detectGap detects that this process has stood still. The caller holds the lock.
 func (n *Node) detectGap(now time.Duration) {
 	gap := now - n.lastUpdateAt
 	if n.lastUpdateAt > 0 && gap > standstillLimit(n.fleet.interval) {
@@ -84,8 +84,8 @@
 	n.lastUpdateAt = now
 }
 
-// durableTick pauses the durable tasks while the ownership record is not confirmed, and
-// withdraws them when the confirmation is too old. The lock is held.
+// durableTick pauses the durable tasks while the ownership record is not confirmed, and withdraws
+// them when the confirmation is too old. The caller holds the lock.
 func (n *Node) durableTick(now time.Duration) {
 	check := &n.durable.ownership
 	if now >= check.verifyUntil || n.durable.ledger.Len() == 0 {
@@ -148,16 +148,16 @@
 	})
 }
 
-// handleFenced handles the removal of this daemon's ownership record: other daemons own its
-// jobs now. The lock is held.
+// handleFenced handles the removal of this daemon's ownership record: other daemons own its jobs
+// now. The caller holds the lock.
 func (n *Node) handleFenced(time.Duration) {
 	n.log.WithFields(logrus.Fields{"event": "title_lost"}).Warn()
 	n.durable.ownerWatch.scanDue = true
 	n.wakeOwnerWatch()
 }
 
-// removeOwnOwnership removes this daemon's ownership record at a planned stop, so that
-// successors take over its remaining jobs at once.
+// releaseOwnership removes this daemon's ownership record at a planned stop, so that successors
+// take over its remaining jobs at once.
 func (n *Node) releaseOwnership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -22,7 +22,7 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// testNode is a daemon that was never started, with the time at which its tests are.
+// testNode is a daemon that was never started, with the simulated time of its test.
 type testNode struct {
 	*Node
 	t   *testing.T
@@ -79,8 +79,8 @@
 	return count
 }
 
-// A daemon is cut off from its peers and the store while its tasks run. It can't verify its ownership
-// record, and must withdraw the tasks before a successor restarts them.
+// A daemon is cut off from its peers and the store while its tasks run. It can't verify its
+// ownership record, and must withdraw the tasks before a successor restarts them.
 func TestTasksAreWithdrawnWhenOwnershipIsUnconfirmed(t *testing.T) {
 	n := newTestNode(t)
 	n.addOwnedJob("a")
@@ -90,9 +90,9 @@
 	assert.Equal(t, countWithdrawn(n.advance(200*time.Millisecond)), 1)
 }
 
-// A daemon is frozen for seconds. A peer's earlier offers wait in it and on the link, and the peer has
-// started their tasks elsewhere. After it resumes, the daemon must not start them too; it takes offers
-// again once the peer is linked anew.
+// A daemon is frozen for seconds. A peer's earlier offers wait in it and on the link, and the peer
+// has started their tasks elsewhere. After it resumes, the daemon must not start them too; it takes
+// offers again once the peer is linked again.
 func TestOffersFromBeforeStandstillAreDropped(t *testing.T) {
 	n := newTestNode(t)
 	clock := n.clock.now
@@ -128,8 +128,8 @@
 	}
 }
 
-// A daemon resumes after a standstill and offers tasks that a successor may have started. It must offer
-// none until a read that began afterwards confirms its ownership record.
+// A daemon resumes after a standstill and offers tasks that a successor may have started. It must
+// offer none until a read that began afterwards confirms its ownership record.
 func TestDurableTasksPauseAfterStandstill(t *testing.T) {
 	n := newTestNode(t)
 	n.addOwnedJob("a")
@@ -174,8 +174,8 @@
 	assert.Equal(t, removed(restarted), isSuccessor, "its daemon has a new process")
 }
 
-// A daemon that reaches only a minority is more likely cut off itself. It must wait longer before it
-// removes ownership records.
+// A daemon that reaches only a minority is more likely cut off itself. It must wait longer before
+// it removes ownership records.
 func TestMinorityDelaysOwnershipRemoval(t *testing.T) {
 	n := newTestNode(t)
 	for i := range uint64(3) {
@@ -189,8 +189,8 @@
 	assert.Assert(t, remove)
 }
 
-// A process resumes after a standstill: the store's last answer is old, but the store is reachable. The
-// process must accept jobs, and refuse them at once only after a failed call.
+// A process resumes after a standstill: the store's last answer is old, but the store is reachable.
+// The process must accept jobs, and refuse them at once only after a failed call.
 func TestStandstillIsNotTakenForStoreOutage(t *testing.T) {
 	n := newTestNode(t)
 	r := Request{ID: "a", Route: &routing.Route{Name: "r", Service: "s"}, Steps: []coordinator.Step{{Count: 1}}}
@@ -217,8 +217,8 @@
 	return registry.Item{Kind: registry.Daemon, ID: fmt.Sprint(n), Content: b, Deleted: deleted}
 }
 
-// All registry entries disappear for a moment in a fleet of several cells. The cells must stay, or all
-// daemons would link with all others at once.
+// All registry entries disappear for a moment in a fleet of several cells. The cells must stay, or
+// all daemons would link with all others at once.
 func TestCellsStayWhenEntriesExpire(t *testing.T) {
 	n := newTestNode(t)
 	var items, deletions []registry.Item
@@ -261,8 +261,8 @@
 	}
 }
 
-// A daemon takes over a job that has an owner, or leaves one without an owner. It must also take back its
-// own jobs that it dropped when it lost its ownership record.
+// A daemon takes over a job that has an owner, or leaves one without an owner. It must also take
+// back its own jobs that it dropped when it lost its ownership record.
 func TestOnlyJobsWithoutOwnerAreTakenOver(t *testing.T) {
 	n := newTestNode(t)
 	entry := func(id string, owner uint64) ledger.Entry {
--- a/internal/node/ownerwatch.go
+++ b/internal/node/ownerwatch.go
@@ -16,15 +16,14 @@
 	// durable jobs; ownersIdleInterval is the same while it uses none.
 	ownersInterval     = 3 * time.Second
 	ownersIdleInterval = 30 * time.Second
-	// scanInterval is the time between scans of all job records while the fleet uses durable
-	// jobs, whatever the ownership records show: an owner may have started and ended between two
-	// checks of them.
+	// scanInterval is the time between scans of all job records while the fleet uses durable jobs,
+	// whatever the ownership records show: an owner may have started and ended between two checks
+	// of them.
 	scanInterval = 15 * time.Second
-	// ownerRemovalDelay is how long an owner has to be unreachable before this daemon removes its
-	// ownership record. Other daemons may still reach it, and a removal pauses its jobs.
+	// ownerRemovalDelay is how long an owner has to be unreachable before this daemon removes the
+	// owner's ownership record. Other daemons may still reach it, and a removal pauses its jobs.
 	ownerRemovalDelay = 1 * time.Second
-	// stateSweepInterval is the time between sweeps of the states that daemons left which are
-	// removed.
+	// stateSweepInterval is the time between sweeps of the states that removed daemons have left.
 	stateSweepInterval = 10 * time.Minute
 )
 
@@ -45,8 +44,8 @@
 	return ownerWatch{unreachableSince: make(map[uint64]time.Duration), owners: make(map[uint64]bool), scanDue: true, wake: make(chan struct{}, 1)}
 }
 
-// watchOwners supervises the ownership records: it writes this daemon's own, and removes those
-// of unreachable owners, whose jobs successors take over.
+// watchOwners supervises the ownership records: it writes this daemon's own, and removes those of
+// unreachable owners, and takes over the jobs whose successor this daemon is.
 func (n *Node) watchOwners() {
 	for n.ctx.Err() == nil {
 		pause := n.checkOwners()
@@ -114,7 +113,7 @@
 	return storeRetryDelay
 }
 
-// sweepStates removes the states of jobs that ended long ago and whose writers are gone. One
+// sweepStates removes the states of jobs that ended long ago and whose writers no longer run. One
 // daemon does it for all.
 func (n *Node) sweepStates() {
 	n.mu.Lock()
@@ -142,8 +141,8 @@
 	n.log.WithFields(logrus.Fields{"event": "states_swept", "states": len(states), "removed": len(expired)}).Info()
 }
 
-// removeLostOwnerships removes the ownership records of unreachable owners, where this daemon
-// is the one to remove them. It reports whether the next check is due soon.
+// removeLostOwnerships removes the ownership records of unreachable owners, where this daemon is
+// the one to remove them. It reports whether the next check is due soon.
 func (n *Node) removeLostOwnerships(ownerships []ledger.Entry) (checkSoon bool) {
 	for _, o := range ownerships {
 		owner, err := ledger.DecodeOwnership(o.Value)
@@ -171,8 +170,8 @@
 	return checkSoon
 }
 
-// shouldRemoveOwnership reports whether this daemon is to remove an owner's ownership record
-// now, or has to wait and check again. The lock is held.
+// shouldRemoveOwnership reports whether this daemon is to remove an owner's ownership record now,
+// or has to wait and check again. The caller holds the lock.
 func (n *Node) shouldRemoveOwnership(now time.Duration, ownershipID string, owner member.Process) (remove, checkSoon bool) {
 	w := &n.durable.ownerWatch
 	if owner == n.self.Process || n.fleet.isUp(mesh.Peer{Process: owner}) {
@@ -203,9 +202,9 @@
 	return ledger.Successor(ownershipID, members) == n.self.Process, true
 }
 
-// takeOverJobs takes over the jobs whose owners have no ownership record and whose successor
-// this daemon is. It reports whether the next check is due soon, as some jobs may be left to
-// other daemons. The lock is held.
+// takeOverJobs takes over the jobs whose owners have no ownership record and whose successor this
+// daemon is. It reports whether the next check is due soon, as some jobs may be left to other
+// daemons. The caller holds the lock.
 func (n *Node) takeOverJobs(now time.Duration, records, ownerships []ledger.Entry) (checkSoon bool) {
 	w := &n.durable.ownerWatch
 	owners := make(map[uint64]bool, len(ownerships))
@@ -250,8 +249,8 @@
 
 // ownerUnreachable handles an unreachable peer: its jobs need a successor. This daemon has to
 // verify its own ownership record, as the peer may have found this daemon unreachable too. A
-// refused connection is no exception, as connections may be refused in a partition. The lock is
-// held.
+// refused connection is no exception, as connections may be refused in a partition. The caller
+// holds the lock.
 func (n *Node) ownerUnreachable(now time.Duration, p mesh.Peer) {
 	n.durable.states.forgetOwner(p.Incarnation)
 	n.durable.ownership.verifyUntil = now + verifyPeriod
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -23,10 +23,10 @@
 // unreachable: their time-out starts at a heartbeat that is at most two intervals old.
 func standstillLimit(interval time.Duration) time.Duration { return mesh.PeerTimeout - 2*interval }
 
-// dropAllPeers handles a standstill so long that peers have found this daemon unreachable. They start
-// elsewhere the tasks that they offered to it. The frames that they sent before wait in this process
-// and on its connections, and this daemon would start their tasks seconds later a second time. So it
-// drops all of them and starts new sessions on all links. The lock is held.
+// dropAllPeers handles a standstill so long that peers have found this daemon unreachable. They
+// start elsewhere the tasks that they offered to it. The frames that they sent before wait in this
+// process and on its connections, and this daemon would start their tasks seconds later a second
+// time. So it drops all of them and starts new sessions on all links. The caller holds the lock.
 func (n *Node) dropAllPeers(now, gap time.Duration) {
 	n.log.WithFields(logrus.Fields{"event": "stood_still", "for": gap}).Warn()
 	for _, k := range n.fleet.peers {
@@ -51,18 +51,18 @@
 	})
 }
 
-// daemonListTimeout bounds how long a new process waits for the list of daemons before it links those
-// that seeds and peers name. The store answers within some ms, or is unreachable.
+// daemonListTimeout bounds how long a new process waits for the list of daemons before it links
+// those that seeds and peers name. The store answers within some ms, or is unreachable.
 const daemonListTimeout = 300 * time.Millisecond
 
-// firstStartWait is how long a daemon of a system that starts for the first time waits before it reads
-// the list of daemons, so that the others can write their entries. Without the list 300 daemons don't
-// know their cells, and each would link with all others.
+// firstStartWait is how long a daemon of a system that starts for the first time waits before it
+// reads the list of daemons, so that the others can write their entries. Without the list 300
+// daemons don't know their cells, and each would link with all others.
 const firstStartWait = time.Second
 
 // linkDaemons links the daemons of this daemon's cell. Without the list of daemons, after a loss of
-// power of a large fleet, all daemons would first link with all seeds, also those of other cells. That
-// would take small VMs half a second.
+// power of a large fleet, all daemons would first link with all seeds, also those of other cells.
+// That would take small VMs half a second.
 func (n *Node) linkDaemons() {
 	if n.config.FirstStart {
 		clock.Sleep(n.ctx, firstStartWait)
--- a/internal/node/quiescence.go
+++ b/internal/node/quiescence.go
@@ -19,8 +19,8 @@
 	// quiescenceRequestTTL.
 	quiescenceRetry      = time.Second
 	quiescenceRequestTTL = 3 * quiescenceRetry
-	// quiescenceAnswerTTL is how long an executor revokes its confirmation when the coordinator is
-	// reachable again.
+	// quiescenceAnswerTTL is how long after a confirmation an executor still revokes it, when the
+	// coordinator is reachable again.
 	quiescenceAnswerTTL = 10 * time.Second
 )
 
@@ -57,8 +57,8 @@
 }
 
 // startQuiescenceCheck asks all executors to confirm that they have no more runs of a coordinator.
-// Unreachable executors can't confirm it: the check waits until their leases expire. The lock is
-// held.
+// Unreachable executors can't confirm it: the check waits until their leases expire. The caller
+// holds the lock.
 func (n *Node) startQuiescenceCheck(now time.Duration, coordinator member.Process) {
 	if n.quiescence.checks[coordinator] != nil {
 		return
@@ -97,7 +97,7 @@
 
 // quiescencePeerUp handles a peer that is reachable again. As a coordinator it can be asked itself,
 // and may order new runs: confirmations about it are void. As an executor it is asked, as its own
-// answer is more reliable than the wait for its leases. The lock is held.
+// answer is more reliable than the wait for its leases. The caller holds the lock.
 func (n *Node) quiescencePeerUp(now time.Duration, p member.Process) {
 	delete(n.quiescence.unreachable, p)
 	delete(n.quiescence.checks, p)
@@ -115,7 +115,7 @@
 }
 
 // handleQuiescenceRequest notes that a daemon requests a confirmation when this executor has no
-// more runs of a coordinator. The lock is held.
+// more runs of a coordinator. The caller holds the lock.
 func (n *Node) handleQuiescenceRequest(now time.Duration, requester, coordinator member.Process) {
 	recordTime(n.quiescence.requesters, coordinator, requester, now)
 }
@@ -128,7 +128,7 @@
 }
 
 // handleQuiescent handles an executor's confirmation that it has no more runs of a coordinator. The
-// lock is held.
+// caller holds the lock.
 func (n *Node) handleQuiescent(from, coordinator member.Process) {
 	if coordinator == n.self.Process {
 		n.coordinator.HandleQuiescence(from)
@@ -140,7 +140,7 @@
 }
 
 // handleQuiescenceRevoked handles an executor's report that it reaches the coordinator again, which
-// voids its confirmation. The lock is held.
+// voids its confirmation. The caller holds the lock.
 func (n *Node) handleQuiescenceRevoked(from, coordinator member.Process) {
 	if c := n.quiescence.checks[coordinator]; c != nil {
 		c.pending[from] = true
@@ -162,7 +162,7 @@
 }
 
 // quiescenceTick answers the requests that can be confirmed by now, and completes this daemon's own
-// checks or repeats their requests. The lock is held.
+// checks or repeats their requests. The caller holds the lock.
 func (n *Node) quiescenceTick(now time.Duration) {
 	n.answerQuiescenceRequests(now)
 	for coordinator, c := range n.quiescence.checks {
@@ -211,8 +211,8 @@
 	}
 }
 
-// isQuiescent reports whether this executor has no more runs of coordinator p, for the request of a
-// daemon. A coordinator that asks about itself asks for its runs from before it was lost.
+// isQuiescent reports whether this executor has no more runs of a coordinator, for the request of a
+// daemon. A coordinator that asks about itself asks for its runs from before it was unreachable.
 func (n *Node) isQuiescent(now time.Duration, coordinator, requester member.Process) bool {
 	if coordinator == requester && coordinator != n.self.Process {
 		return n.executor.QuiescentAfterReturn(now, coordinator)
--- a/internal/node/quiescence_test.go
+++ b/internal/node/quiescence_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A coordinator returns and is lost again during a quiescence check. An earlier confirmation must not count.
+// A coordinator returns and is lost again during a quiescence check. An earlier confirmation must
+// not count.
 func TestQuiescenceCheckRestartsAfterCoordinatorReturned(t *testing.T) {
 	n := newTestNode(t)
 	h := (*peerHandler)(n.Node)
@@ -24,7 +25,8 @@
 	assert.Assert(t, n.quiescence.checks[coordinator.Process].pending[peer(2).Process], "the earlier confirmation counts")
 }
 
-// The same after the check: a completed check must not count for jobs granted to the coordinator later.
+// The same after the check: a completed check must not count for jobs granted to the coordinator
+// later.
 func TestCompletedQuiescenceCheckIsNotReused(t *testing.T) {
 	n := newTestNode(t)
 	h := (*peerHandler)(n.Node)
@@ -43,7 +45,8 @@
 	assert.Assert(t, n.quiescence.checks[coordinator.Process] != nil, "a new check is needed for later jobs")
 }
 
-// A coordinator returns and no one repeats a request about it. Checks and requests must not accumulate.
+// A coordinator returns and no one repeats a request about it. Checks and requests must not
+// accumulate.
 func TestQuiescenceChecksOfReturnedCoordinatorAreRemoved(t *testing.T) {
 	n := newTestNode(t)
 	h := (*peerHandler)(n.Node)
@@ -62,7 +65,8 @@
 	assert.Equal(t, len(n.quiescence.checks)+len(n.quiescence.requesters), 0)
 }
 
-// An executor reaches a coordinator again after its confirmation. The revoked confirmation must not count.
+// An executor reaches a coordinator again after its confirmation. The revoked confirmation must not
+// count.
 func TestQuiescenceConfirmationIsRevoked(t *testing.T) {
 	n := newTestNode(t)
 	(*peerHandler)(n.Node).PeerUp(peer(2))
--- a/internal/node/relays_test.go
+++ b/internal/node/relays_test.go
@@ -12,8 +12,8 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// startingNode returns a daemon that has just started after all of a fleet lost power. Twenty other daemons
-// are registered, two of which have more cores than the rest.
+// startingNode returns a daemon that has just started after all of a fleet lost power. Twenty other
+// daemons are registered, two of which have more cores than the rest.
 func startingNode(t *testing.T, weight float64) *testNode {
 	n := newLinkedNode(t, 0)
 	n.self.Weight = weight
@@ -35,9 +35,9 @@
 	return n
 }
 
-// All daemons of a fleet start at once. If each read all entries, the store's link would be busy for
-// seconds, in which no daemon knows a worker and refuses every caller. Only the relays of a cell must read,
-// and the others ask them as soon as they announce their entries.
+// All daemons of a fleet start at once. If each read all entries, the store's link would be busy
+// for seconds, in which no daemon knows a worker and refuses every caller. Only the relays of a
+// cell must read, and the others ask them as soon as they announce their entries.
 func TestOnlyRelaysReadAtFleetStart(t *testing.T) {
 	strong := startingNode(t, 2)
 	_, action := strong.nextSyncAction()
@@ -64,7 +64,8 @@
 	assert.Equal(t, weak.fleet.sync.knownRevision, int64(400))
 }
 
-// The relays of the cell don't return. A daemon must read by itself before its callers' jobs are too late.
+// The relays of the cell don't return. A daemon must read by itself before its callers' jobs are
+// too late.
 func TestDaemonReadsStoreWhenRelaysDoNotReturn(t *testing.T) {
 	n := startingNode(t, 0.192)
 	_, action := n.nextSyncAction()
@@ -74,8 +75,8 @@
 	assert.Equal(t, action, registry.ReadAll)
 }
 
-// A relay sends the entries of its first read to all peers as changes. Instead each peer that lacks them
-// asks, and gets them once and compressed.
+// A relay sends the entries of its first read to all peers as changes. Instead each peer that lacks
+// them asks, and gets them once and compressed.
 func TestFirstReadIsNotSentAsChanges(t *testing.T) {
 	n := newLinkedNode(t, 12)
 	n.fleet.sync.isRelay, n.fleet.sync.termStartedAt, n.fleet.sync.term = true, 1, 1
@@ -102,8 +103,8 @@
 	})
 }
 
-// The hash has put few daemons into a cell of a large fleet. Without relays each of them would read every
-// worker's renewals, and that load grows with the fleet.
+// The hash has put few daemons into a cell of a large fleet. Without relays each of them would read
+// every worker's renewals, and that load grows with the fleet.
 func TestSmallCellHasRelays(t *testing.T) {
 	n := newLinkedNode(t, 7)
 	assert.Assert(t, !n.fleet.usesRelays(), "a small fleet")
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -26,10 +26,10 @@
 }
 
 // firstTableTimeout is how long callers of a process that has just started wait for its first
-// configuration. A configuration of 256 KiB takes 0.1 s on a link of 25 Mbit/s that also carries the
-// entries of workers and the answers to other daemons: 0.25 s after a kill of all daemons, when
-// callers arrive from everywhere. Callers that are refused would not retry. The bound equals that of
-// a job's wait for the first worker: a longer wait would make most jobs late.
+// configuration. A configuration of 256 KiB takes 0.1 s on a link of 25 Mbit/s that also carries
+// the entries of workers and the answers to other daemons: 0.25 s after a kill of all daemons, when
+// callers arrive from everywhere. Callers that are refused would not retry. The bound equals that
+// of a job's wait for the first worker: a longer wait would make most jobs late.
 const firstTableTimeout = 700 * time.Millisecond
 
 // Table implements Dispatcher.
@@ -52,9 +52,9 @@
 // noticed which callers hung up meanwhile, as their connections ended.
 const resumeWait = 100 * time.Millisecond
 
-// callerStillThere waits after a standstill and reports whether the caller is still connected. The
-// process may read a request seconds after it was sent, when its caller has given up and sent it to
-// another daemon. Both daemons would start the job.
+// waitAfterStandstill waits after a standstill and reports whether the caller is still connected.
+// The process may read a request seconds after it was sent, when its caller has given up and sent
+// it to another daemon. Both daemons would start the job.
 func (n *Node) waitAfterStandstill(ctx context.Context) bool {
 	n.clock.sync()
 	n.mu.Lock()
@@ -123,7 +123,7 @@
 	})
 }
 
-// handleJobAnswer passes an answer to the callers. The lock is held.
+// handleJobAnswer passes an answer to the callers. The caller holds the lock.
 func (n *Node) handleJobAnswer(a coordinator.Answer) {
 	w := n.waiters[a.Job]
 	if w == nil {
@@ -138,7 +138,8 @@
 	n.notifyRemoteWaiters(n.clock.now(), a)
 }
 
-// cancelNonDurable cancels a job that is not durable and reports whether there was one. The lock is held.
+// cancelNonDurable cancels a job that is not durable and reports whether there was one. The caller
+// holds the lock.
 func (n *Node) cancelNonDurable(now time.Duration, id string) bool {
 	if n.waiters[id] == nil {
 		return false
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -11,9 +11,9 @@
 	"github.com/lavendercleat/lavendercleat/routing"
 )
 
-// All daemons were killed and restart. Callers arrive at once, while the configuration is still in transfer
-// over a narrow link. They must wait for it, for some hundred ms, and be served. A caller that leaves, and
-// one that arrives later at a daemon without a configuration, must not wait.
+// All daemons were killed and restart. Callers arrive at once, while the configuration is still in
+// transfer over a narrow link. They must wait for it, for some hundred ms, and be served. A caller
+// that leaves, and one that arrives later at a daemon without a configuration, must not wait.
 func TestCallersWaitForTheFirstConfiguration(t *testing.T) {
 	n := newNodeWithDecoders(t)
 	got := make(chan *routing.Table, 1)
--- a/internal/node/reservation_test.go
+++ b/internal/node/reservation_test.go
@@ -12,8 +12,9 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// A reservation that arrives over a link is taken for an offer. Its task would run here and where it waits.
-// The reservation must stay until it is dropped.
+// A reservation that arrives over a link is taken for an offer. Its task would run here and where
+// it waits. The reservation must stay while there is no free capacity, until the coordinator drops
+// it.
 func TestReservationOverLinkIsNotAnOffer(t *testing.T) {
 	n := newTestNode(t)
 	p := peer(2)
--- a/internal/node/retirements.go
+++ b/internal/node/retirements.go
@@ -11,8 +11,8 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// applyAllRetirements applies all entries that retire failure domains, as the store shows them at a
-// revision. Domains that it doesn't show have been reinstated.
+// applyRetirementSnapshot applies all entries that retire failure domains, as the store shows them
+// at a revision. Domains that it doesn't show have been reinstated.
 func (n *Node) applyRetirementSnapshot(items []registry.Item, revision int64) {
 	var shown []registry.Retirement
 	for _, i := range items {
@@ -35,9 +35,9 @@
 	n.applyDomainState(registry.Retirement{Domain: item.ID, Revision: item.Revision, Retired: !item.Deleted}, "store")
 }
 
-// validRetirement reports whether an entry names a failure domain. It logs and counts an entry that is
-// invalid. An entry that names a domain counts even if the rest of it is invalid: to start tasks there
-// against the operator's decision would be the worse error.
+// validRetirement reports whether an entry names a failure domain. It logs and counts an entry that
+// is invalid. An entry that names a domain counts even if the rest of it is invalid: to start tasks
+// there against the operator's decision would be the worse error.
 func (n *Node) validRetirement(i registry.Item) bool {
 	err := n.platform.DecodeRetirement(i.ID, i.Content)
 	if err != nil {
@@ -47,8 +47,8 @@
 	return err == nil || i.ID != ""
 }
 
-// handleReportedRetirements applies the retirements that a peer reports: it may reach the store when
-// this daemon can't. The lock is held.
+// handleReportedRetirements applies the retirements that a peer reports: it may reach the store
+// when this daemon can't. The caller holds the lock.
 func (n *Node) handleReportedRetirements(p mesh.Peer, heartbeat *schema.Pulse) {
 	for _, d := range heartbeat.GetDomains() {
 		n.applyDomainState(registry.Retirement{Domain: d.GetDomain(), Revision: d.GetRevision(), Retired: d.GetRetired()}, "peer "+p.Name)
@@ -61,7 +61,7 @@
 	}
 }
 
-// enforceDomainStates puts changed states of failure domains in force. The lock is held.
+// enforceDomainStates puts changed states of failure domains in force. The caller holds the lock.
 func (n *Node) enforceDomainStates(changed []registry.Retirement, source string) {
 	if len(changed) == 0 {
 		return
@@ -107,8 +107,8 @@
 	return out
 }
 
-// setDomains adds the workers' failure domains to an executor's report. Heartbeats don't contain them,
-// as each daemon knows them from the workers' entries.
+// setDomains adds the workers' failure domains to an executor's report. Heartbeats don't contain
+// them, as each daemon knows them from the workers' entries.
 func (f *fleetView) setDomains(workers []executor.WorkerCapacity) {
 	for i := range workers {
 		if w := f.workers[workers[i].Worker]; w != nil {
--- a/internal/node/retirements_test.go
+++ b/internal/node/retirements_test.go
@@ -27,9 +27,9 @@
 	return registry.Item{Kind: registry.RetiredDomain, ID: domain, Content: []byte("{}"), Revision: revision}
 }
 
-// The store refuses this daemon since its start, and a peer's heartbeat reports that a failure domain is
-// retired. The daemon must apply that from the first heartbeat on and report it to its peers, although its
-// own read is older, until a later change reinstates the domain.
+// The store has refused this daemon since its start, and a peer's heartbeat reports that a failure
+// domain is retired. The daemon must apply that from the first heartbeat on and report it to its
+// peers, although its own read is older, until a later change reinstates the domain.
 func TestLatestRetirementOfPeersAndStoreCounts(t *testing.T) {
 	n := newNodeWithDecoders(t)
 	config := follower{n.Node, false}
@@ -49,8 +49,8 @@
 	assert.Assert(t, !n.fleet.retirements.Retired("a"), "the peer's report is older")
 }
 
-// A new process reads a retirement and its first configuration together. It must apply the retirement before
-// the configuration, without which it serves nothing.
+// A new process reads a retirement and its first configuration together. It must apply the
+// retirement before the configuration, without which it serves nothing.
 func TestRetirementPrecedesFirstConfiguration(t *testing.T) {
 	n := newNodeWithDecoders(t)
 	follower{n.Node, false}.HandleSnapshot([]registry.Item{
@@ -60,8 +60,8 @@
 	assert.Assert(t, n.fleet.retirements.Retired("b"))
 }
 
-// The operator's entry is truncated or has no name. One that names a domain must count, as its key contains
-// all that is needed. One without a name must change nothing, and the daemon serves on.
+// The operator's entry is truncated or has no name. One that names a domain must count, as its key
+// contains all that is needed. One without a name must change nothing, and the daemon serves on.
 func TestInvalidRetirements(t *testing.T) {
 	n := newNodeWithDecoders(t)
 	config := follower{n.Node, false}
--- a/internal/node/starts.go
+++ b/internal/node/starts.go
@@ -17,21 +17,22 @@
 )
 
 const (
-	// startupWait is how long after its start a daemon requests no grant to start a job. Until it has
-	// taken over workers it may have no link to the daemons that have answers for other daemons' jobs.
+	// startupWait is how long after its start a daemon requests no grant to start a job. Until it
+	// has taken over workers it may have no link to the arbiters that granted jobs to other
+	// daemons.
 	startupWait = 700 * time.Millisecond
-	// arbiterGrace is how long an unreachable peer stays an arbiter. It can't answer, but it may have
-	// granted the job to a daemon on its side of a partition. The executors of that daemon notice the
-	// partition, or let their leases expire, up to this much later. A refused connection doesn't prove
-	// that the process ended: connections may be refused in a partition. A daemon that stood still and
-	// lost all of its links waits for its peers equally long.
+	// arbiterGrace is how long an unreachable peer stays an arbiter. It can't answer, but it may
+	// have granted the job to a daemon on its side of a partition. The executors of that daemon
+	// notice the partition, or let their leases expire, up to this much later. A refused connection
+	// doesn't prove that the process ended: connections may be refused in a partition. A daemon
+	// that stood still and lost all of its links waits for its peers equally long.
 	arbiterGrace = 800 * time.Millisecond
 	// arbiterSweepInterval is the time between removals of what an arbiter may forget.
 	arbiterSweepInterval = time.Second
 )
 
-// arbiters is the daemon's arbiter for other daemons' jobs. It has its own lock, as a request changes
-// no other state.
+// arbiters is the daemon's arbiter for other daemons' jobs. It has its own lock, as a request
+// changes no other state.
 type arbiters struct {
 	mu sync.Mutex
 	*arbiter.Arbiter
@@ -89,8 +90,8 @@
 	return p == n.self.Process || k != nil && k.up && k.Incarnation == p.Incarnation
 }
 
-// applyStartOutputs carries out the outputs of the arbiter's client; false when there were none. The
-// lock is held.
+// applyStartOutputs carries out the outputs of the arbiter's client; false when there were none.
+// The caller holds the lock.
 func (n *Node) applyStartOutputs(now time.Duration) bool {
 	outputs := n.starts.Drain()
 	for _, h := range outputs.HeldElsewhere {
@@ -207,7 +208,7 @@
 	return nil
 }
 
-// applyStartFrame handles a frame about who may start a job. The lock is held.
+// applyStartFrame handles a frame about who may start a job. The caller holds the lock.
 func (n *Node) applyStartFrame(now time.Duration, from member.Process, f *schema.Frame) {
 	switch b := f.GetBody().(type) {
 	case *schema.Frame_StartQuestion:
@@ -254,19 +255,19 @@
 	}
 }
 
-// startsPeerUnreachable notes that a peer is unreachable. The lock is held.
+// startsPeerUnreachable notes that a peer is unreachable. The caller holds the lock.
 func (n *Node) startsPeerUnreachable(now time.Duration, p mesh.Peer) {
 	n.quiescence.peerUnreachable(now, p)
 	n.starts.HandleUnreachable(now, p.Process)
 }
 
-// startsPeerUp notes that a peer is reachable. The lock is held.
+// startsPeerUp notes that a peer is reachable. The caller holds the lock.
 func (n *Node) startsPeerUp(now time.Duration, p member.Process) {
 	n.starts.HandleReachable(now, p)
 	n.quiescencePeerUp(now, p)
 }
 
-// startsTick acts on the time that has passed. The lock is held.
+// startsTick acts on the time that has passed. The caller holds the lock.
 func (n *Node) startsTick(now time.Duration) {
 	n.starts.Tick(now)
 	n.quiescenceTick(now)
--- a/internal/node/starts_test.go
+++ b/internal/node/starts_test.go
@@ -12,8 +12,8 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// arbitratedNode is a daemon linked with peers that are a job's arbiters, and a caller that waits for the
-// job's answer.
+// arbitratedNode is a daemon linked with peers that are a job's arbiters, and a caller that waits
+// for the job's answer.
 type arbitratedNode struct {
 	*testNode
 	answers chan coordinator.Answer
@@ -69,7 +69,8 @@
 	assert.Assert(t, a.started("j"))
 }
 
-// A caller arrives here while another daemon has its job. The job starts here too, or gets no answer.
+// A caller arrives here while another daemon has its job. The job starts here too, or gets no
+// answer.
 func TestJobHeldElsewhereIsAnsweredByHolder(t *testing.T) {
 	a := newArbitratedNode(t, "j")
 	a.verdict(2, heldBy("j", 3))
@@ -108,7 +109,8 @@
 	assert.Assert(t, !a.started("j"))
 }
 
-// A process without links is the only arbiter of its own requests, and starts jobs that other daemons run.
+// A process without links is the only arbiter of its own requests, and starts jobs that other
+// daemons run.
 func TestNoJobStartsBeforeLinksAreUp(t *testing.T) {
 	n := newTestNode(t)
 	assert.Equal(t, len((*startView)(n.Node).Arbiters("j", 2)), 0)
@@ -116,7 +118,8 @@
 	assert.Equal(t, len((*startView)(n.Node).Arbiters("j", 2)), 1)
 }
 
-// A daemon that has just lost its peers replaces a job's arbiters, which may have granted it to another.
+// A daemon that has just lost its peers replaces a job's arbiters, which may have granted it to
+// another.
 func TestUnreachableArbitersCountDuringGrace(t *testing.T) {
 	for _, refused := range []bool{false, true} {
 		n := newTestNode(t)
--- a/internal/node/states.go
+++ b/internal/node/states.go
@@ -11,12 +11,13 @@
 
 // knownState is a job's state as its owner reported it.
 type knownState struct {
-	state ledger.State
-	owner uint64
-	at    time.Duration
+	state      ledger.State
+	owner      uint64
+	reportedAt time.Duration
 }
 
-// states caches the states that owners have reported of durable jobs, for a time and up to a number.
+// states caches the states that owners have reported of durable jobs, for a time and up to a
+// number.
 type states struct {
 	byJob map[string]knownState
 	// order lists the reports, oldest first, including repeated ones.
@@ -24,18 +25,19 @@
 }
 
 type reportedState struct {
-	job string
-	at  time.Duration
+	job        string
+	reportedAt time.Duration
 }
 
 func newStates() states { return states{byJob: make(map[string]knownState)} }
 
-// put caches a state. It removes the states that are older than keep, and the oldest beyond maxStates.
+// put caches a state. It removes the states that are older than keep, and the oldest beyond
+// maxStates.
 func (s *states) put(job string, k knownState, keep time.Duration) {
 	s.byJob[job] = k
-	s.order = append(s.order, reportedState{job, k.at})
-	for len(s.order) > maxStates || len(s.order) > 0 && k.at-s.order[0].at > keep {
-		if old := s.order[0]; s.byJob[old.job].at == old.at {
+	s.order = append(s.order, reportedState{job, k.reportedAt})
+	for len(s.order) > maxStates || len(s.order) > 0 && k.reportedAt-s.order[0].reportedAt > keep {
+		if old := s.order[0]; s.byJob[old.job].reportedAt == old.reportedAt {
 			delete(s.byJob, old.job)
 		}
 		s.order = s.order[1:]
--- a/internal/node/states_test.go
+++ b/internal/node/states_test.go
@@ -10,8 +10,8 @@
 	"github.com/lavendercleat/lavendercleat/ledger"
 )
 
-// Jobs arrive and end for hours, and the cache of states grows without bound. A state that was reported again
-// must stay for its time from then.
+// Jobs arrive and end for hours, and the cache of states grows without bound. A state that was
+// reported again must stay for its time from then.
 func TestCachedStatesAreBounded(t *testing.T) {
 	s := newStates()
 	for i := range 3 * maxStates {
@@ -29,7 +29,8 @@
 	assert.Equal(t, s.get("a"), ledger.State(0))
 }
 
-// The owner is lost, and its jobs may have ended without a report. Only the final states must stay cached.
+// The owner is lost, and its jobs may have ended without a report. Only the final states must stay
+// cached.
 func TestOpenStatesOfLostOwnerAreForgotten(t *testing.T) {
 	s := newStates()
 	s.put("open", knownState{ledger.Running, 1, 0}, time.Minute)
--- a/internal/node/telemetry.go
+++ b/internal/node/telemetry.go
@@ -17,7 +17,8 @@
 // metricSet holds the daemon's metrics.
 type metricSet struct {
 	set *metrics.Set
-	// publishedQueues are the labels of the queues with published metrics. Guarded by the node's lock.
+	// publishedQueues are the labels of the queues with published metrics. Guarded by the node's
+	// lock.
 	publishedQueues map[string]bool
 }
 
