--- a/internal/node/cellfeed.go
+++ b/internal/node/cellfeed.go
@@ -1,3 +1,6 @@
+// Reading of registry entries across cells: a relay reads them from a root relay of another cell,
+// and every root relay serves them over HTTP.
+
 package node
 
 import (
--- a/internal/node/cellhandover.go
+++ b/internal/node/cellhandover.go
@@ -1,3 +1,6 @@
+// Handover of workers between cells: the daemons of a cell take over a worker that came from another
+// cell only after its runs had time to end.
+
 package node
 
 import (
--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -1,3 +1,5 @@
+// A clock that includes the time for which the VM was suspended.
+
 package node
 
 import (
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -1,3 +1,5 @@
+// Exchange of the configuration among peers, for daemons that the store does not serve in time.
+
 package node
 
 import (
--- a/internal/node/convert.go
+++ b/internal/node/convert.go
@@ -1,3 +1,5 @@
+// Conversion between the types of the state machines and the frames that peers exchange.
+
 package node
 
 import (
--- a/internal/node/demands.go
+++ b/internal/node/demands.go
@@ -1,3 +1,5 @@
+// Demands and shares of queues, in heartbeats and in metrics.
+
 package node
 
 import (
--- a/internal/node/durable.go
+++ b/internal/node/durable.go
@@ -1,3 +1,5 @@
+// Durable jobs: acceptance, state queries and cancellation.
+
 package node
 
 import (
--- a/internal/node/entries.go
+++ b/internal/node/entries.go
@@ -1,3 +1,5 @@
+// The registry entries of workers and daemons, as this daemon knows them.
+
 package node
 
 import (
--- a/internal/node/entrysync.go
+++ b/internal/node/entrysync.go
@@ -1,3 +1,6 @@
+// Synchronization with the store's registry entries: a few daemons, the relays, read them and send
+// the changes to the other daemons of their cell.
+
 package node
 
 import (
--- a/internal/node/fleetview.go
+++ b/internal/node/fleetview.go
@@ -1,3 +1,5 @@
+// The daemon's view of its peers, and the assignment of workers to daemons.
+
 package node
 
 import (
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -1,3 +1,5 @@
+// Following the store's feeds, and the daemon's own registry entry.
+
 package node
 
 import (
--- a/internal/node/interfaces.go
+++ b/internal/node/interfaces.go
@@ -1,3 +1,5 @@
+// Interfaces between the daemon, its platform and its callers.
+
 package node
 
 import (
--- a/internal/node/ledgerwrites.go
+++ b/internal/node/ledgerwrites.go
@@ -1,3 +1,5 @@
+// Writes of durable jobs to the store, and the handling of their results.
+
 package node
 
 import (
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,3 +1,5 @@
+// The daemon: settings, life cycle, and the loop that runs the state machines.
+
 package node
 
 import (
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -1,3 +1,5 @@
+// This daemon's ownership record in the store, by which it owns its durable jobs.
+
 package node
 
 import (
--- a/internal/node/ownerwatch.go
+++ b/internal/node/ownerwatch.go
@@ -1,3 +1,6 @@
+// Supervision of the owners of durable jobs: it removes the ownership records of unreachable owners
+// and takes over their jobs.
+
 package node
 
 import (
--- a/internal/node/pack.go
+++ b/internal/node/pack.go
@@ -1,3 +1,5 @@
+// Compression of lists of registry entries.
+
 package node
 
 import (
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -1,3 +1,5 @@
+// Links to peers, and the handling of their heartbeats and frames.
+
 package node
 
 import (
--- a/internal/node/quiescence.go
+++ b/internal/node/quiescence.go
@@ -1,3 +1,6 @@
+// Quiescence checks: executors confirm that no run of an unreachable coordinator is left, so that
+// another daemon may start its jobs.
+
 package node
 
 import (
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -1,3 +1,5 @@
+// Callers' requests for jobs that are not durable.
+
 package node
 
 import (
--- a/internal/node/retirements.go
+++ b/internal/node/retirements.go
@@ -1,3 +1,5 @@
+// Failure domains that the operator has retired: their workers get no new runs.
+
 package node
 
 import (
--- a/internal/node/slowdowns.go
+++ b/internal/node/slowdowns.go
@@ -1,3 +1,5 @@
+// Exchange of the workers' slowdowns between coordinator and executor.
+
 package node
 
 import "time"
--- a/internal/node/starts.go
+++ b/internal/node/starts.go
@@ -1,3 +1,5 @@
+// The right to start a job: a daemon asks the job's arbiters, and answers as an arbiter itself.
+
 package node
 
 import (
--- a/internal/node/states.go
+++ b/internal/node/states.go
@@ -1,3 +1,5 @@
+// A cache of the states of durable jobs, as their owners report them.
+
 package node
 
 import (
--- a/internal/node/telemetry.go
+++ b/internal/node/telemetry.go
@@ -1,3 +1,5 @@
+// Metrics and log lines.
+
 package node
 
 import (
