--- a/sched/admit.go
+++ b/sched/admit.go
@@ -8,22 +8,22 @@
 
 const (
 	// noWorkersRetry is the advice while no worker is available.
-	noWorkersRetry = time.Second
+	noWorkersRetryAfter = time.Second
 	// minRetryAfter and maxRetryAfter bound the advice worked out from the backlog.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 	// capacityAge is how long a count of the slots is used.
-	capacityAge = 10 * time.Millisecond
+	capacityMaxAge = 10 * time.Millisecond
 )
 
 // admit refuses a job that can't run in time, at once and whole.
 func (s *Scheduler) admit(now time.Duration, j *Job, k *kind) *verdict.Failure {
 	fits, usable := s.fits(j)
 	switch {
-	case !fits && len(s.list) > 0:
+	case !fits && len(s.workerList) > 0:
 		return verdict.New(verdict.NotRun, verdict.CannotRun, "no worker fits what kind %q needs and where it may run", j.Kind)
 	case !usable:
-		return verdict.New(verdict.NotRun, verdict.NoWorkers, "no worker is available now").After(noWorkersRetry)
+		return verdict.New(verdict.NotRun, verdict.NoWorkers, "no worker is available now").After(noWorkersRetryAfter)
 	case now >= j.Deadline:
 		return verdict.New(verdict.NotRun, verdict.DeadlineExceeded, "the deadline has passed")
 	case k.times.learned() && k.times.mean > j.Deadline-now:
@@ -39,12 +39,12 @@
 // fits tells whether any worker can ever run the job, and whether one may now: by a
 // share of this entry or by a loan.
 func (s *Scheduler) fits(j *Job) (fits, usable bool) {
-	for _, w := range s.list {
+	for _, w := range s.workerList {
 		if !w.own.suits(j.Needs, j.Domains) {
 			continue
 		}
 		fits = true
-		if w.usable() && (w.Slots > 0 || s.reachable(w)) {
+		if w.usable() && (w.Slots > 0 || s.borrowable(w)) {
 			return true, true
 		}
 	}
@@ -52,7 +52,7 @@
 }
 
 // reachable tells whether slots of a worker outside the shares may be used.
-func (s *Scheduler) reachable(w *worker) bool {
+func (s *Scheduler) borrowable(w *worker) bool {
 	if s.baseline() || len(w.borrowed) > 0 {
 		return true
 	}
@@ -61,18 +61,18 @@
 
 // lateBy returns by how much the backlog is too long for the job; 0 when it is not.
 func (s *Scheduler) lateBy(now time.Duration, j *Job, k *kind) time.Duration {
-	left := max(j.Deadline-now-k.times.longest(j.Tasks), 0)
+	remaining := max(j.Deadline-now-k.times.longestOf(j.Tasks), 0)
 	c := s.capacity(now, j)
-	own := max(j.Tasks-s.index[ownClass].free-s.index[borrowedClass].free, 0)
-	mine := seconds(k, own)
-	wait := c.drain(s.ahead(j, mine) + mine)
+	slotsNeeded := max(j.Tasks-s.index[ownClass].free-s.index[borrowedClass].free, 0)
+	jobWork := slotSeconds(k, slotsNeeded)
+	wait := c.drainTime(s.workAhead(j, jobWork) + jobWork)
 	if k.limit >= 0 {
-		wait = max(wait, duration(seconds(k, k.waiting+max(j.Tasks-max(k.limit-k.running, 0), 0))/float64(max(k.limit, 1))))
+		wait = max(wait, duration(slotSeconds(k, k.waiting+max(j.Tasks-max(k.limit-k.running, 0), 0))/float64(max(k.limit, 1))))
 	}
-	all := c.drain(s.allAhead(j) + mine)
+	all := c.drainTime(s.waitingWork(j) + jobWork)
 	late := max(
-		wait-time.Duration(s.config.WaitShare[j.Urgency]*float64(left)),
-		all-time.Duration(s.config.BacklogShare*float64(left)),
+		wait-time.Duration(s.config.MaxWaitFraction[j.Urgency]*float64(remaining)),
+		all-time.Duration(s.config.MaxBacklogFraction*float64(remaining)),
 	)
 	if wait <= 0 && all <= 0 {
 		return 0
@@ -80,24 +80,24 @@
 	return late
 }
 
-func seconds(k *kind, tasks int) float64 { return float64(tasks) * k.times.mean.Seconds() }
+func slotSeconds(k *kind, tasks int) float64 { return float64(tasks) * k.times.mean.Seconds() }
 
 func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
 // ahead returns the slot time in seconds that goes before a job: all of higher
 // urgency, and of its own what its team has to wait for by its weight.
-func (s *Scheduler) ahead(j *Job, mine float64) float64 {
+func (s *Scheduler) workAhead(j *Job, jobWork float64) float64 {
 	higher := 0.0
 	for i := int(j.Urgency) + 1; i < levels; i++ {
-		higher += s.levels[i].work(j)
+		higher += s.levels[i].competingWork(j)
 	}
 	l := &s.levels[j.Urgency]
-	same := l.work(j)
+	same := l.competingWork(j)
 	weight := float64(max(j.Weight, 1))
-	share, weights := mine, weight
+	share, weights := jobWork, weight
 	for _, t := range l.active {
 		if t == l.teams[j.Team] {
-			share += t.work(j)
+			share += t.competingWork(j)
 			continue
 		}
 		weights += t.weight
@@ -106,28 +106,28 @@
 }
 
 // allAhead returns the slot time of everything that waits.
-func (s *Scheduler) allAhead(j *Job) float64 {
+func (s *Scheduler) waitingWork(j *Job) float64 {
 	sum := 0.0
 	for i := range s.levels {
-		sum += s.levels[i].work(j)
+		sum += s.levels[i].competingWork(j)
 	}
 	return sum
 }
 
 // work adds up the waiting slot time that competes with a job.
-func (l *level) work(j *Job) float64 {
+func (l *level) competingWork(j *Job) float64 {
 	sum := 0.0
 	for _, t := range l.active {
-		sum += t.work(j)
+		sum += t.competingWork(j)
 	}
 	return sum
 }
 
-func (t *team) work(j *Job) float64 {
+func (t *team) competingWork(j *Job) float64 {
 	sum := 0.0
 	for _, q := range t.queues {
 		if overlap(q.kind.domains, j.Domains) {
-			sum += seconds(q.kind, q.waiting)
+			sum += slotSeconds(q.kind, q.waiting)
 		}
 	}
 	return sum
@@ -140,44 +140,44 @@
 	now   int
 	later int
 	// change is the time until then.
-	change time.Duration
+	laterIn time.Duration
 }
 
 // drain returns how long the slots take for work of so many seconds.
-func (c capacity) drain(work float64) time.Duration {
+func (c capacity) drainTime(work float64) time.Duration {
 	d := duration(work / float64(max(c.now, 1)))
-	if d <= c.change || c.later <= c.now {
+	if d <= c.laterIn || c.later <= c.now {
 		return d
 	}
-	left := work - c.change.Seconds()*float64(c.now)
-	return c.change + duration(left/float64(c.later))
+	left := work - c.laterIn.Seconds()*float64(c.now)
+	return c.laterIn + duration(left/float64(c.later))
 }
 
 // capacities counts the slots in use or free, by failure domain.
 type capacities struct {
-	at    time.Duration
-	stale bool
+	countedAt time.Duration
+	stale     bool
 	// own counts the slots of all domains.
-	own    int
-	domain map[string]capacity
+	total    int
+	byDomain map[string]capacity
 }
 
 // capacity returns the number of slots that work on the backlog of jobs like this:
 // own and borrowed ones, and what peers have free.
 func (s *Scheduler) capacity(now time.Duration, j *Job) capacity {
 	c := &s.capacities
-	if c.stale || c.domain == nil || now-c.at > capacityAge {
+	if c.stale || c.byDomain == nil || now-c.countedAt > capacityMaxAge {
 		s.countCapacity(now)
 	}
-	sum := capacity{change: s.config.LoanTerm}
-	for domain, part := range c.domain {
+	sum := capacity{laterIn: s.config.LoanTerm}
+	for domain, inDomain := range c.byDomain {
 		if j.mayRunIn(domain) {
-			sum.add(part.now, part.later)
+			sum.add(inDomain.now, inDomain.later)
 		}
 	}
 	for _, p := range s.peers {
 		if j.mayRunIn(p.Domain) && s.config.Policy == Shares {
-			sum.add(p.free, p.free)
+			sum.add(p.lendable, p.lendable)
 		}
 	}
 	return sum
@@ -190,37 +190,37 @@
 
 func (s *Scheduler) countCapacity(now time.Duration) {
 	c := &s.capacities
-	c.at, c.stale, c.own = now, false, 0
-	c.domain = make(map[string]capacity)
-	for _, w := range s.list {
+	c.countedAt, c.stale, c.total = now, false, 0
+	c.byDomain = make(map[string]capacity)
+	for _, w := range s.workerList {
 		if !w.usable() || w.ejected {
 			continue
 		}
-		at := c.domain[w.Domain]
+		inDomain := c.byDomain[w.Domain]
 		if s.baseline() {
-			at.add(w.Total, w.Total)
+			inDomain.add(w.Total, w.Total)
 		} else {
-			at.add(max(w.own.slots-w.own.lent, 0), w.own.slots)
+			inDomain.add(max(w.own.slots-w.own.lent, 0), w.own.slots)
 		}
 		for _, g := range w.borrowed {
 			if !g.ended() {
-				at.add(g.slots, g.slots)
+				inDomain.add(g.slots, g.slots)
 			}
 		}
-		c.domain[w.Domain] = at
+		c.byDomain[w.Domain] = inDomain
 	}
-	for _, at := range c.domain {
-		c.own += at.now
+	for _, inDomain := range c.byDomain {
+		c.total += inDomain.now
 	}
 	if s.baseline() {
-		c.divide(len(s.peers) + 1)
+		c.divideAmong(len(s.peers) + 1)
 	}
 }
 
 // divide is the baselines' guess of this entry's part.
-func (c *capacities) divide(entries int) {
-	c.own /= entries
-	for d, at := range c.domain {
-		c.domain[d] = capacity{now: at.now / entries, later: at.later / entries}
+func (c *capacities) divideAmong(entries int) {
+	c.total /= entries
+	for d, inDomain := range c.byDomain {
+		c.byDomain[d] = capacity{now: inDomain.now / entries, later: inDomain.later / entries}
 	}
 }
--- a/sched/borrow.go
+++ b/sched/borrow.go
@@ -20,11 +20,11 @@
 	Peer
 	// free is how many slots it could lend by its latest word, less what was asked
 	// for since. A peer without any is not asked.
-	free int
+	lendable int
 	// wants is set while the peer lacks slots that this entry did not have.
-	wants bool
+	needsSlots bool
 	// asking is set while a request is under way: one at a time per peer.
-	asking bool
+	requestPending bool
 	// loans are those borrowed from the peer.
 	loans []*loan
 }
@@ -40,8 +40,8 @@
 	term time.Duration
 	// extending is set while an extension is asked for, and stays set when the lender
 	// declined, so that it is not asked again.
-	extending bool
-	grants    []*grant
+	extensionRequested bool
+	grants             []*grant
 }
 
 const (
@@ -49,8 +49,8 @@
 	tailsPerTerm = 4
 	// extendBelow is the part of a term below which a loan in use is extended, and
 	// extendWith that below which others of the same peer go along.
-	extendBelow = 0.5
-	extendWith  = 0.75
+	extendBelow     = 0.5
+	extendAlsoBelow = 0.75
 )
 
 // SetPeers replaces the list of live peers. Nothing starts any more on slots borrowed
@@ -83,11 +83,11 @@
 	if o == nil {
 		return
 	}
-	o.wants = wanted > 0
-	if o.asking {
+	o.needsSlots = wanted > 0
+	if o.requestPending {
 		return // the answer is newer
 	}
-	o.free = free
+	o.lendable = free
 	if free > 0 && s.waiting > 0 {
 		s.schedule(now)
 	}
@@ -109,60 +109,60 @@
 // domain first, then those with the most free slots. Only peers that said they have
 // some are asked.
 func (s *Scheduler) borrow(now time.Duration) {
-	if s.config.Policy != Shares || !s.peersFree() {
+	if s.config.Policy != Shares || !s.anyPeerLendable() {
 		return
 	}
 	for _, k := range s.kindList {
-		want := k.room() - k.asked
-		for want > 0 {
-			p := s.lender(k)
+		missing := k.startable() - k.requested
+		for missing > 0 {
+			p := s.bestLender(k)
 			if p == nil {
 				break
 			}
-			n := min(want, p.free)
-			s.ask(now, p, k, n)
-			want -= n
+			n := min(missing, p.lendable)
+			s.requestSlots(now, p, k, n)
+			missing -= n
 		}
 	}
 }
 
-func (s *Scheduler) peersFree() bool {
-	return slices.ContainsFunc(s.peers, func(p *peer) bool { return p.free > 0 && !p.asking })
+func (s *Scheduler) anyPeerLendable() bool {
+	return slices.ContainsFunc(s.peers, func(p *peer) bool { return p.lendable > 0 && !p.requestPending })
 }
 
 // lender returns the peer to ask first, nil when none has anything.
-func (s *Scheduler) lender(k *kind) *peer {
+func (s *Scheduler) bestLender(k *kind) *peer {
 	var best *peer
 	for _, p := range s.peers {
-		if p.free <= 0 || p.asking || !allows(k.domains, p.Domain) {
+		if p.lendable <= 0 || p.requestPending || !allows(k.domains, p.Domain) {
 			continue
 		}
-		if best == nil || s.closer(p, best) {
+		if best == nil || s.preferred(p, best) {
 			best = p
 		}
 	}
 	return best
 }
 
-func (s *Scheduler) closer(a, b *peer) bool {
+func (s *Scheduler) preferred(a, b *peer) bool {
 	if near := a.Domain == s.config.Domain; near != (b.Domain == s.config.Domain) {
 		return near
 	}
-	return a.free > b.free
+	return a.lendable > b.lendable
 }
 
 // term returns the term of a loan for a kind.
-func (s *Scheduler) term(k *kind) time.Duration {
+func (s *Scheduler) loanTerm(k *kind) time.Duration {
 	return min(max(s.config.LoanTerm, tailsPerTerm*k.times.tail), s.config.MaxLoanTerm)
 }
 
 // ask requests slots, and with the same message the extension of loans that need it.
-func (s *Scheduler) ask(now time.Duration, p *peer, k *kind, n int) {
-	b := Borrow{Peer: p.Peer, Slots: n, Term: s.term(k), Sent: now, Needs: k.needs, kind: k}
+func (s *Scheduler) requestSlots(now time.Duration, p *peer, k *kind, n int) {
+	b := Borrow{Peer: p.Peer, Slots: n, Term: s.loanTerm(k), Sent: now, Needs: k.needs, kind: k}
 	b.Extend = p.extensions(now)
-	p.free -= n
-	p.asking = true
-	k.asked += n
+	p.lendable -= n
+	p.requestPending = true
+	k.requested += n
 	s.ready.Borrows = append(s.ready.Borrows, b)
 }
 
@@ -170,19 +170,19 @@
 func (p *peer) extensions(now time.Duration) []slot.LoanID {
 	var ids []slot.LoanID
 	for _, l := range p.loans {
-		if !l.extending && l.running() > 0 && l.left(now) < part(l.term, extendWith) {
-			l.extending = true
+		if !l.extensionRequested && l.running() > 0 && l.remaining(now) < fraction(l.term, extendAlsoBelow) {
+			l.extensionRequested = true
 			ids = append(ids, l.id)
 		}
 	}
 	return ids
 }
 
-func part(term time.Duration, of float64) time.Duration {
+func fraction(term time.Duration, of float64) time.Duration {
 	return time.Duration(of * float64(term))
 }
 
-func (l *loan) left(now time.Duration) time.Duration { return l.until - now }
+func (l *loan) remaining(now time.Duration) time.Duration { return l.until - now }
 
 func (l *loan) running() int {
 	n := 0
@@ -205,48 +205,48 @@
 
 // HandleLendReply takes in the answer to a Borrow, nil when there was none. The term counts
 // from the decision to ask, so a late answer only shortens it.
-func (s *Scheduler) HandleLendReply(now time.Duration, b Borrow, answer *LendReply) {
+func (s *Scheduler) HandleLendReply(now time.Duration, b Borrow, reply *LendReply) {
 	if b.kind != nil {
-		b.kind.asked -= b.Slots
+		b.kind.requested -= b.Slots
 	}
 	p := s.peer(b.Peer)
 	if p == nil {
 		return // the peer is gone, and what it lent is divided anew
 	}
-	p.asking = false
-	s.extended(p, b, answer)
-	if answer == nil {
-		p.free = 0
+	p.requestPending = false
+	s.applyExtensions(p, b, reply)
+	if reply == nil {
+		p.lendable = 0
 		return
 	}
-	p.free = answer.Free
-	if len(answer.Slots) > 0 && now < b.Sent+b.Term {
-		s.addLoan(now, p, answer.Loan, b)
+	p.lendable = reply.Free
+	if len(reply.Slots) > 0 && now < b.Sent+b.Term {
+		s.addLoan(now, p, reply.Loan, b)
 	}
 	s.schedule(now)
 }
 
 // extended takes in which extensions were granted.
-func (s *Scheduler) extended(p *peer, b Borrow, answer *LendReply) {
+func (s *Scheduler) applyExtensions(p *peer, b Borrow, reply *LendReply) {
 	for _, l := range p.loans {
 		if !slices.Contains(b.Extend, l.id) {
 			continue
 		}
-		if answer != nil && slices.Contains(answer.Extended, l.id) {
-			l.extending = false
+		if reply != nil && slices.Contains(reply.Extended, l.id) {
+			l.extensionRequested = false
 			l.until = max(l.until, b.Sent+b.Term)
-			if slices.Contains(answer.Recalled, l.id) {
-				s.recall(l)
+			if slices.Contains(reply.Recalled, l.id) {
+				s.recallLoan(l)
 			}
 		}
 	}
 }
 
 // recall stops starts on a loan's slots; each goes back once its task has ended.
-func (s *Scheduler) recall(l *loan) {
+func (s *Scheduler) recallLoan(l *loan) {
 	l.recalled = true
 	for _, g := range l.grants {
-		s.placeGrant(g)
+		s.reindexGrant(g)
 	}
 }
 
@@ -261,7 +261,7 @@
 		g := &grant{worker: w, slots: ws.Slots, loan: l, idleSince: now}
 		l.grants = append(l.grants, g)
 		w.borrowed = append(w.borrowed, g)
-		s.placeGrant(g)
+		s.reindexGrant(g)
 	}
 	p.loans = append(p.loans, l)
 }
@@ -270,14 +270,14 @@
 func (s *Scheduler) endLoan(l *loan) {
 	l.ended = true
 	for _, g := range l.grants {
-		s.placeGrant(g)
+		s.reindexGrant(g)
 		g.worker.borrowed = slices.DeleteFunc(g.worker.borrowed, func(o *grant) bool { return o == g })
 	}
 }
 
 // tendLoans ends loans whose term is over, extends those in use and gives back slots
 // that stayed idle.
-func (s *Scheduler) tendLoans(now time.Duration) {
+func (s *Scheduler) maintainLoans(now time.Duration) {
 	for _, p := range s.peers {
 		if len(p.loans) == 0 {
 			continue
@@ -287,7 +287,7 @@
 				s.endLoan(l)
 			}
 		}
-		s.giveBack(now, p)
+		s.returnAfterIdle(now, p)
 		p.loans = slices.DeleteFunc(p.loans, func(l *loan) bool { return l.ended })
 		s.extend(now, p)
 	}
@@ -296,21 +296,21 @@
 // extend asks a peer to let loans that are in use last longer.
 func (s *Scheduler) extend(now time.Duration, p *peer) {
 	due := slices.ContainsFunc(p.loans, func(l *loan) bool {
-		return !l.extending && l.running() > 0 && l.left(now) < part(l.term, extendBelow)
+		return !l.extensionRequested && l.running() > 0 && l.remaining(now) < fraction(l.term, extendBelow)
 	})
-	if !due || p.asking {
+	if !due || p.requestPending {
 		return
 	}
 	b := Borrow{Peer: p.Peer, Term: s.config.LoanTerm, Sent: now, Extend: p.extensions(now)}
-	p.asking = true
+	p.requestPending = true
 	s.ready.Borrows = append(s.ready.Borrows, b)
 }
 
 // giveBack returns a peer's idle slots, all in one message once one of them has been
 // idle for long enough.
-func (s *Scheduler) giveBack(now time.Duration, p *peer) {
+func (s *Scheduler) returnAfterIdle(now time.Duration, p *peer) {
 	due := slices.ContainsFunc(p.loans, func(l *loan) bool {
-		return !l.ended && l.idleTooLong(now, s.config.ReturnAfter)
+		return !l.ended && l.idleTooLong(now, s.config.ReturnIdleAfter)
 	})
 	if due {
 		s.returnIdle(p)
@@ -331,7 +331,7 @@
 		if l.ended {
 			continue
 		}
-		if idle := s.takeIdle(l); len(idle) > 0 {
+		if idle := s.removeIdle(l); len(idle) > 0 {
 			parts = append(parts, slot.Loan{ID: l.id, Slots: idle})
 		}
 	}
@@ -340,18 +340,18 @@
 
 // takeIdle takes the idle slots out of a loan and returns, for the workers of those,
 // how many slots are kept.
-func (s *Scheduler) takeIdle(l *loan) []slot.WorkerSlots {
+func (s *Scheduler) removeIdle(l *loan) []slot.WorkerSlots {
 	var idle []slot.WorkerSlots
-	left := 0
+	kept := 0
 	for _, g := range l.grants {
 		if n := g.slots - g.running; n > 0 {
 			g.slots -= n
-			s.placeGrant(g)
+			s.reindexGrant(g)
 			idle = append(idle, slot.WorkerSlots{Worker: g.worker.Address, Slots: g.slots})
 		}
-		left += g.slots
+		kept += g.slots
 	}
-	if left == 0 {
+	if kept == 0 {
 		s.endLoan(l)
 	}
 	return idle
--- a/sched/config.go
+++ b/sched/config.go
@@ -24,7 +24,7 @@
 )
 
 // policies names them.
-var policies = map[string]Policy{
+var policyNames = map[string]Policy{
 	"default":     Shares,
 	"static":      StaticShares,
 	"random":      RandomWorker,
@@ -33,7 +33,7 @@
 
 // ParsePolicy returns the policy of a name.
 func ParsePolicy(name string) (Policy, error) {
-	p, ok := policies[name]
+	p, ok := policyNames[name]
 	if !ok {
 		return Shares, errors.Newf("policy %q is unknown; accepted are default, static, random and two-choices", name)
 	}
@@ -54,43 +54,43 @@
 	// Linger is how long the slot of an aborted task counts as busy after the entry
 	// stopped waiting: the worker notices a closed connection a little later, and
 	// would refuse a task that came before.
-	Linger time.Duration
+	AbortReleaseDelay time.Duration
 
 	// LoanTerm is the usual term of a loan. A kind with long tasks gets a longer one,
 	// up to MaxLoanTerm.
 	LoanTerm    time.Duration
 	MaxLoanTerm time.Duration
 	// ReturnAfter is how long a borrowed slot stays idle before it is given back.
-	ReturnAfter time.Duration
+	ReturnIdleAfter time.Duration
 	// LendReserve is the part of its own slots that an entry keeps for itself.
-	LendReserve float64
+	LendReserveFraction float64
 
 	// WaitShare is the part of the time to the deadline that a job of each urgency may
 	// be expected to wait; a job that would wait longer is refused.
-	WaitShare [High + 1]float64
+	MaxWaitFraction [High + 1]float64
 	// BacklogShare is the same for all waiting jobs together.
-	BacklogShare float64
+	MaxBacklogFraction float64
 	// PromoteShare is the part of the time to the deadline after which a waiting job
 	// goes before all others, earliest deadline first.
-	PromoteShare float64
+	PromoteAfterFraction float64
 	// WorkWeight orders the jobs of a team: a job is due this many times its remaining
 	// slot time after its submission. 0 is first come, first served.
-	WorkWeight float64
+	RemainingWorkWeight float64
 
 	// RefusalPause is the first pause of a worker that refused a task, DialPause that
 	// of one that could not be connected to. Each further one in a row doubles it, up
 	// to MaxPause.
-	RefusalPause time.Duration
-	DialPause    time.Duration
-	MaxPause     time.Duration
+	RefusalBackoff time.Duration
+	DialBackoff    time.Duration
+	MaxBackoff     time.Duration
 	// EjectAfter is the number of failures in a row after which a worker is ejected,
 	// for EjectFor the first time and twice as long each further time, up to MaxEject.
-	EjectAfter int
-	EjectFor   time.Duration
-	MaxEject   time.Duration
+	EjectAfterFailures int
+	EjectDuration      time.Duration
+	MaxEjectDuration   time.Duration
 	// SlowFactor is the run time, relative to other workers, from which a worker
 	// counts as a straggler.
-	SlowFactor float64
+	StragglerSlowdown float64
 	// RetryRatio bounds the retries to a part of the first starts.
 	RetryRatio float64
 	// RetryBurst is the number of retries that may come at once.
@@ -102,26 +102,26 @@
 // DefaultConfig returns the settings for tasks of 50 ms to a second.
 func DefaultConfig() Config {
 	return Config{
-		MaxAttempts:    8,
-		DefaultRunTime: 200 * time.Millisecond,
-		Linger:         25 * time.Millisecond,
-		LoanTerm:       2 * time.Second,
-		MaxLoanTerm:    30 * time.Second,
-		ReturnAfter:    50 * time.Millisecond,
-		LendReserve:    0,
-		WaitShare:      [High + 1]float64{Low: 0.4, Normal: 0.5, High: 0.6},
-		BacklogShare:   0.7,
-		PromoteShare:   0.5,
-		WorkWeight:     1,
-		RefusalPause:   20 * time.Millisecond,
-		DialPause:      500 * time.Millisecond,
-		MaxPause:       15 * time.Second,
-		EjectAfter:     3,
-		EjectFor:       5 * time.Second,
-		MaxEject:       time.Minute,
-		SlowFactor:     2,
-		RetryRatio:     0.1,
-		RetryBurst:     100,
-		RetryDelay:     50 * time.Millisecond,
+		MaxAttempts:          8,
+		DefaultRunTime:       200 * time.Millisecond,
+		AbortReleaseDelay:    25 * time.Millisecond,
+		LoanTerm:             2 * time.Second,
+		MaxLoanTerm:          30 * time.Second,
+		ReturnIdleAfter:      50 * time.Millisecond,
+		LendReserveFraction:  0,
+		MaxWaitFraction:      [High + 1]float64{Low: 0.4, Normal: 0.5, High: 0.6},
+		MaxBacklogFraction:   0.7,
+		PromoteAfterFraction: 0.5,
+		RemainingWorkWeight:  1,
+		RefusalBackoff:       20 * time.Millisecond,
+		DialBackoff:          500 * time.Millisecond,
+		MaxBackoff:           15 * time.Second,
+		EjectAfterFailures:   3,
+		EjectDuration:        5 * time.Second,
+		MaxEjectDuration:     time.Minute,
+		StragglerSlowdown:    2,
+		RetryRatio:           0.1,
+		RetryBurst:           100,
+		RetryDelay:           50 * time.Millisecond,
 	}
 }
--- a/sched/grant.go
+++ b/sched/grant.go
@@ -41,7 +41,7 @@
 // free returns the slots on which a task may start.
 func (g *grant) free() int {
 	w := g.worker
-	if !w.usable() || w.paused || w.ejected || g.ended() {
+	if !w.usable() || w.backingOff || w.ejected || g.ended() {
 		return 0
 	}
 	n := g.slots - g.lent - g.running - w.withheld
@@ -59,11 +59,11 @@
 func (g *grant) ended() bool { return g.loan != nil && (g.loan.ended || g.loan.recalled) }
 
 // lasts tells whether the grant is expected to outlast a task that starts now.
-func (g *grant) lasts(now, runTime time.Duration) bool {
+func (g *grant) outlasts(now, runTime time.Duration) bool {
 	return g.loan == nil || now+runTime <= g.loan.until
 }
 
-func (g *grant) wantedClass() class {
+func (g *grant) currentClass() class {
 	switch {
 	case g.worker.probing():
 		return probeClass
@@ -87,7 +87,7 @@
 	free int
 	// turn makes grants of a level take turns, so that a worker that fails fast and is
 	// free again at once gets no more tasks than the others.
-	turn int
+	rotation int
 }
 
 func (x *index) insert(g *grant, level int) {
@@ -123,9 +123,9 @@
 	for level := x.top; level > 0; level-- {
 		l := x.levels[level]
 		for i := range l {
-			x.turn++
-			g := l[(x.turn+i)%len(l)]
-			if g.suits(needs, domains) && g.lasts(now, runTime) {
+			x.rotation++
+			g := l[(x.rotation+i)%len(l)]
+			if g.suits(needs, domains) && g.outlasts(now, runTime) {
 				return g
 			}
 		}
@@ -139,16 +139,16 @@
 }
 
 // place brings the index up to date for all grants of a worker.
-func (s *Scheduler) place(w *worker) {
-	s.placeGrant(&w.own)
+func (s *Scheduler) reindex(w *worker) {
+	s.reindexGrant(&w.own)
 	for _, g := range w.borrowed {
-		s.placeGrant(g)
+		s.reindexGrant(g)
 	}
 }
 
-func (s *Scheduler) placeGrant(g *grant) {
+func (s *Scheduler) reindexGrant(g *grant) {
 	level := min(g.free(), maxLevel)
-	c := g.wantedClass()
+	c := g.currentClass()
 	if level == g.level && c == g.class {
 		return
 	}
--- a/sched/job.go
+++ b/sched/job.go
@@ -60,21 +60,21 @@
 	// promoteAt is when the job goes before all others if it still waits.
 	promoteAt time.Duration
 	// alarm is for the promotion, then for the deadline.
-	alarm *timer
+	timer *timer
 	// waiting holds the tasks to start, the next one last.
-	waiting []int
-	running map[int]*run
-	done    int
+	waiting   []int
+	running   map[int]*run
+	completed int
 	// attempts counts the starts of each task.
 	attempts []uint8
 	// ran is set once a start was not proved to be NotRun.
-	ran bool
+	mayHaveRun bool
 
 	// queue is where the job waits, nil when it has no waiting task.
 	queue *kindQueue
 	// order is the job's place in its queue, the lowest first, at position index.
-	order time.Duration
-	index int
+	dueAt     time.Duration
+	heapIndex int
 }
 
 // runKey identifies a started task: a task runs once at a time.
@@ -90,7 +90,7 @@
 	kind    *kind
 	started time.Duration
 	// full is set when the task took the last free slot and none was withheld.
-	full bool
+	tookLastSlot bool
 }
 
 func newJob(now time.Duration, j Job, k *kind) *job {
@@ -104,7 +104,7 @@
 
 // verdict tells whether any task of the job may have run.
 func (j *job) verdict() verdict.Verdict {
-	if j.ran || len(j.running) > 0 {
+	if j.mayHaveRun || len(j.running) > 0 {
 		return verdict.MayHaveRun
 	}
 	return verdict.NotRun
--- a/sched/kind.go
+++ b/sched/kind.go
@@ -11,23 +11,23 @@
 	// waiting counts the tasks that could start if there were slots.
 	waiting int
 	// asked counts the slots in requests for a loan that were not answered yet.
-	asked int
-	times runTimes
+	requested int
+	times     runTimes
 	// needs and domains are those of the latest job.
 	needs   Resources
 	domains []string
 	// failed holds, for each worker that ran a task of the kind, whether the latest
 	// one failed; failing counts those.
-	failed  map[string]bool
-	failing int
+	lastFailed     map[string]bool
+	failingWorkers int
 }
 
 // suspectWorkers is the number of workers from which failures can tell a bad kind
 // from a bad worker.
-const suspectWorkers = 3
+const minSuspectWorkers = 3
 
 // room tells how many more tasks of the kind may start.
-func (k *kind) room() int {
+func (k *kind) startable() int {
 	if k.limit < 0 {
 		return k.waiting
 	}
@@ -35,36 +35,36 @@
 }
 
 // note remembers how a task of the kind ended on a worker.
-func (k *kind) note(worker string, failed bool) {
-	before := k.failed[worker]
-	k.failed[worker] = failed
+func (k *kind) recordResult(worker string, failed bool) {
+	before := k.lastFailed[worker]
+	k.lastFailed[worker] = failed
 	switch {
 	case failed && !before:
-		k.failing++
+		k.failingWorkers++
 	case before && !failed:
-		k.failing--
+		k.failingWorkers--
 	}
 }
 
 // forget drops what is known of a worker.
-func (k *kind) forget(worker string) {
-	if k.failed[worker] {
-		k.failing--
+func (k *kind) forgetWorker(worker string) {
+	if k.lastFailed[worker] {
+		k.failingWorkers--
 	}
-	delete(k.failed, worker)
+	delete(k.lastFailed, worker)
 }
 
 // suspect tells whether the kind itself seems to be at fault: it fails on most of the
 // workers that ran it. Ejecting those would leave no workers for the other kinds.
 func (k *kind) suspect() bool {
-	return len(k.failed) >= suspectWorkers && 2*k.failing > len(k.failed)
+	return len(k.lastFailed) >= minSuspectWorkers && 2*k.failingWorkers > len(k.lastFailed)
 }
 
 // kind returns the kind of a name, new ones without a limit.
-func (s *Scheduler) kind(name string, declared time.Duration) *kind {
+func (s *Scheduler) kindByName(name string, declared time.Duration) *kind {
 	k := s.kinds[name]
 	if k == nil {
-		k = &kind{name: name, limit: -1, failed: make(map[string]bool), times: newRunTimes(declared)}
+		k = &kind{name: name, limit: -1, lastFailed: make(map[string]bool), times: newRunTimes(declared)}
 		s.kinds[name] = k
 		s.kindList = append(s.kindList, k)
 	}
@@ -72,12 +72,12 @@
 }
 
 // kindOf returns the kind of a job with what the job says of it.
-func (s *Scheduler) kindOf(j *Job) *kind {
+func (s *Scheduler) updateKind(j *Job) *kind {
 	declared := j.RunTime
 	if declared <= 0 {
 		declared = s.config.DefaultRunTime
 	}
-	k := s.kind(j.Kind, declared)
+	k := s.kindByName(j.Kind, declared)
 	if k.times.runs == 0 {
 		k.times = newRunTimes(declared)
 	}
@@ -93,7 +93,7 @@
 		k.limit = -1
 	}
 	for name, n := range limits {
-		s.kind(name, s.config.DefaultRunTime).limit = max(n, 0)
+		s.kindByName(name, s.config.DefaultRunTime).limit = max(n, 0)
 	}
 	s.schedule(now)
 }
--- a/sched/lend.go
+++ b/sched/lend.go
@@ -22,42 +22,42 @@
 // the borrower's tasks still run are busy whatever the ledger says, and would refuse
 // the lender's own.
 func (s *Scheduler) Lend(now time.Duration, r LendRequest) LendReply {
-	s.fire(now)
+	s.fireTimers(now)
 	s.expireLent(now)
-	var answer LendReply
-	if s.config.Policy != Shares || s.held {
-		return answer
+	var reply LendReply
+	if s.config.Policy != Shares || s.startsPaused {
+		return reply
 	}
 	starved := s.starved()
 	term := min(r.Term, s.config.MaxLoanTerm)
 	for _, id := range r.Extend {
-		if s.lent.Extend(now, r.Borrower, id, term) {
-			answer.Extended = append(answer.Extended, id)
+		if s.ledger.Extend(now, r.Borrower, id, term) {
+			reply.Extended = append(reply.Extended, id)
 		}
 	}
 	if starved {
-		answer.Recalled = answer.Extended
-		s.remember(r, 0)
-		return answer
+		reply.Recalled = reply.Extended
+		s.recordUnmetRequest(r, 0)
+		return reply
 	}
-	if slots := s.collect(now, min(r.Slots, s.lendable()), r.Needs); len(slots) > 0 {
-		answer.Slots = slots
-		answer.ID = s.lent.Lend(now, r.Borrower, slots, term)
+	if slots := s.takeFreeSlots(now, min(r.Slots, s.lendable()), r.Needs); len(slots) > 0 {
+		reply.Slots = slots
+		reply.ID = s.ledger.Lend(now, r.Borrower, slots, term)
 	}
-	answer.Free = s.lendable()
+	reply.Free = s.lendable()
 	lent := 0
-	for _, w := range answer.Slots {
+	for _, w := range reply.Slots {
 		lent += w.Slots
 	}
-	s.remember(r, lent)
-	return answer
+	s.recordUnmetRequest(r, lent)
+	return reply
 }
 
 // remember notes that a peer got less than it asked for.
-func (s *Scheduler) remember(r LendRequest, lent int) {
+func (s *Scheduler) recordUnmetRequest(r LendRequest, lent int) {
 	for _, p := range s.peers {
 		if p.Address == r.Borrower.Address && p.Incarnation == r.Borrower.Incarnation {
-			p.wants = lent < r.Slots
+			p.needsSlots = lent < r.Slots
 		}
 	}
 }
@@ -65,12 +65,12 @@
 // hint tells peers that lack slots, no more of them than there are slots, that some
 // are free. Without it they would learn it from the next heartbeat, a task's length
 // later.
-func (s *Scheduler) hint() {
+func (s *Scheduler) sendHints() {
 	free := 0
 	for i := range s.peers {
 		// The turn goes round, so that no peer is always told first.
 		p := s.peers[(s.hintTurn+i)%len(s.peers)]
-		if !p.wants {
+		if !p.needsSlots {
 			continue
 		}
 		if free == 0 {
@@ -78,7 +78,7 @@
 				return
 			}
 		}
-		p.wants = false
+		p.needsSlots = false
 		s.ready.Hints = append(s.ready.Hints, FreeSlotsHint{Peer: p.Peer})
 		if free--; free == 0 {
 			s.hintTurn += i + 1
@@ -88,10 +88,10 @@
 }
 
 // wanted returns how many slots the waiting tasks lack.
-func (s *Scheduler) wanted() int {
+func (s *Scheduler) missingSlots() int {
 	n := 0
 	for _, k := range s.kindList {
-		n += max(k.room()-k.asked, 0)
+		n += max(k.startable()-k.requested, 0)
 	}
 	return n
 }
@@ -102,12 +102,12 @@
 		return false
 	}
 	return slices.ContainsFunc(s.kindList, func(k *kind) bool {
-		return k.room() > 0 && allows(k.domains, s.config.Domain)
+		return k.startable() > 0 && allows(k.domains, s.config.Domain)
 	})
 }
 
 // collect takes free slots out of the shares, where most are free first.
-func (s *Scheduler) collect(now time.Duration, n int, needs Resources) []slot.WorkerSlots {
+func (s *Scheduler) takeFreeSlots(now time.Duration, n int, needs Resources) []slot.WorkerSlots {
 	var slots []slot.WorkerSlots
 	at := make(map[*worker]int)
 	for range n {
@@ -116,7 +116,7 @@
 			break
 		}
 		g.lent++
-		s.placeGrant(g)
+		s.reindexGrant(g)
 		i, ok := at[g.worker]
 		if !ok {
 			i = len(slots)
@@ -130,10 +130,10 @@
 
 // lendable returns how many slots this entry could lend now.
 func (s *Scheduler) lendable() int {
-	if s.config.Policy != Shares || s.held || s.starved() {
+	if s.config.Policy != Shares || s.startsPaused || s.starved() {
 		return 0
 	}
-	reserve := int(math.Ceil(s.config.LendReserve * float64(s.capacities.own)))
+	reserve := int(math.Ceil(s.config.LendReserveFraction * float64(s.capacities.total)))
 	return max(s.index[ownClass].free-reserve, 0)
 }
 
@@ -141,19 +141,19 @@
 // parts say what it keeps.
 func (s *Scheduler) HandleReturn(now time.Duration, b slot.Borrower, parts []slot.Loan) {
 	for _, part := range parts {
-		s.unlend(s.lent.Return(b, part))
+		s.syncLent(s.ledger.Return(b, part))
 	}
 	s.schedule(now)
 }
 
 // expireLent takes back the slots of loans whose term is over.
-func (s *Scheduler) expireLent(now time.Duration) { s.unlend(s.lent.Expire(now)) }
+func (s *Scheduler) expireLent(now time.Duration) { s.syncLent(s.ledger.Expire(now)) }
 
-func (s *Scheduler) unlend(workers []string) {
+func (s *Scheduler) syncLent(workers []string) {
 	for _, a := range workers {
 		if w := s.workers[a]; w != nil {
-			w.own.lent = s.lent.Lent(a)
-			s.place(w)
+			w.own.lent = s.ledger.Lent(a)
+			s.reindex(w)
 		}
 	}
 }
--- a/sched/load.go
+++ b/sched/load.go
@@ -26,13 +26,13 @@
 		Running:      len(s.runs),
 		Waiting:      s.waiting,
 		Lendable:     s.lendable(),
-		MissingSlots: s.wanted(),
-		Lent:         s.lent.Total(),
+		MissingSlots: s.missingSlots(),
+		Lent:         s.ledger.Total(),
 	}
 	for i := range s.index {
 		l.Free += s.index[i].free
 	}
-	for _, w := range s.list {
+	for _, w := range s.workerList {
 		l.Slots += w.Slots
 		if w.ejected {
 			l.Ejected++
--- a/sched/pick.go
+++ b/sched/pick.go
@@ -26,7 +26,7 @@
 // another worker would take longer.
 func (s *Scheduler) pick(now time.Duration, j *job) *grant {
 	if s.baseline() {
-		return s.pickAny(j)
+		return s.pickBaseline(j)
 	}
 	times := &j.kind.times
 	if g := s.index[probeClass].best(now, j.Needs, j.Domains, 0); g != nil {
@@ -39,7 +39,7 @@
 		return g
 	}
 	g := s.index[slowClass].best(now, j.Needs, j.Domains, times.tail)
-	if g == nil || !s.worthSlow(now, j, g.worker) {
+	if g == nil || !s.worthStraggler(now, j, g.worker) {
 		return nil
 	}
 	return g
@@ -48,21 +48,21 @@
 // worthSlow tells whether a straggler should run the job's next task: when it is time
 // to see whether it has recovered, or when the wait for another worker is expected to
 // be longer than what the straggler loses.
-func (s *Scheduler) worthSlow(now time.Duration, j *job, w *worker) bool {
+func (s *Scheduler) worthStraggler(now time.Duration, j *job, w *worker) bool {
 	if now >= w.probeAt && w.running == 0 {
-		w.probeWait = min(2*w.probeWait, maxSlowProbe)
-		w.probeAt = now + w.probeWait
+		w.probeInterval = min(2*w.probeInterval, maxSlowProbeInterval)
+		w.probeAt = now + w.probeInterval
 		return true
 	}
-	loss := w.speed - 1
-	if float64(s.waiting) > loss*float64(max(s.capacities.own, 1)) {
+	excess := w.slowdown - 1
+	if float64(s.waiting) > excess*float64(max(s.capacities.total, 1)) {
 		return true
 	}
-	return now-j.submitted > time.Duration(loss*float64(j.kind.times.mean))
+	return now-j.submitted > time.Duration(excess*float64(j.kind.times.mean))
 }
 
 // pickAny is the baselines' choice among all workers.
-func (s *Scheduler) pickAny(j *job) *grant {
+func (s *Scheduler) pickBaseline(j *job) *grant {
 	a := s.randomGrant(j)
 	if s.config.Policy == RandomWorker || a == nil {
 		return a
@@ -76,14 +76,14 @@
 
 // randomGrant returns a random worker that may run the job, nil when there is none.
 func (s *Scheduler) randomGrant(j *job) *grant {
-	n := len(s.list)
+	n := len(s.workerList)
 	if n == 0 {
 		return nil
 	}
 	at := s.random.IntN(n)
 	for i := range n {
-		w := s.list[(at+i)%n]
-		if w.usable() && !w.paused && !w.ejected && w.own.suits(j.Needs, j.Domains) && w.running < w.Total {
+		w := s.workerList[(at+i)%n]
+		if w.usable() && !w.backingOff && !w.ejected && w.own.suits(j.Needs, j.Domains) && w.running < w.Total {
 			return &w.own
 		}
 	}
--- a/sched/runtime.go
+++ b/sched/runtime.go
@@ -22,9 +22,9 @@
 	// meanWeight is the weight of one run in the moving mean, once there are many.
 	meanWeight = 0.02
 	// firstRuns is the number of runs in which the declaration still counts.
-	firstRuns = 5
+	declaredRuns = 5
 	// enoughRuns is the number of runs from which observed times are relied on.
-	enoughRuns = 20
+	minLearnedRuns = 20
 )
 
 // runTimes learns the run times of a kind. Declared times are hints that may be ten
@@ -39,7 +39,7 @@
 	tail   time.Duration
 	sketch *ddsketch.DDSketch
 	// last is the full sketch before the current one.
-	last *ddsketch.DDSketch
+	previous *ddsketch.DDSketch
 }
 
 func newRunTimes(declared time.Duration) runTimes {
@@ -52,7 +52,7 @@
 	weight := max(1/float64(r.runs), meanWeight)
 	r.observed += time.Duration(weight * float64(d-r.observed))
 	r.mean = r.observed
-	if r.runs < firstRuns {
+	if r.runs < declaredRuns {
 		r.mean = (r.declared + time.Duration(r.runs)*r.observed) / time.Duration(r.runs+1)
 	}
 	if r.sketch == nil || r.sketch.GetCount() >= sketchWindow {
@@ -60,8 +60,8 @@
 	}
 	// Only a negative or infinite value makes Add fail.
 	_ = r.sketch.Add(max(d, 0).Seconds())
-	if r.runs < enoughRuns || r.runs%refreshEvery == 0 {
-		r.refresh()
+	if r.runs < minLearnedRuns || r.runs%refreshEvery == 0 {
+		r.refreshTail()
 	}
 }
 
@@ -70,22 +70,22 @@
 	if err != nil {
 		panic(err) // only for an accuracy outside 0..1
 	}
-	r.last, r.sketch = r.sketch, fresh
+	r.previous, r.sketch = r.sketch, fresh
 }
 
 // refresh looks up the tail.
-func (r *runTimes) refresh() { r.tail = r.quantile(tailQuantile, r.tail) }
+func (r *runTimes) refreshTail() { r.tail = r.quantile(tailQuantile, r.tail) }
 
 // quantile returns a quantile of the runs by the fuller sketch, or the given time when
 // there are none.
-func (r *runTimes) quantile(q float64, otherwise time.Duration) time.Duration {
+func (r *runTimes) quantile(q float64, fallback time.Duration) time.Duration {
 	from := r.sketch
-	if r.last != nil && from.GetCount() < sketchWindow/2 {
-		from = r.last
+	if r.previous != nil && from.GetCount() < sketchWindow/2 {
+		from = r.previous
 	}
 	seconds, err := from.GetValueAtQuantile(q)
 	if err != nil {
-		return otherwise
+		return fallback
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
@@ -93,7 +93,7 @@
 // longest returns the time that the longest of a number of tasks stays below with the
 // probability of tailQuantile. Where a few tasks take far longer, a job of many most
 // likely has one of them, though a single task has not.
-func (r *runTimes) longest(tasks int) time.Duration {
+func (r *runTimes) longestOf(tasks int) time.Duration {
 	if !r.learned() {
 		return r.mean
 	}
@@ -101,4 +101,4 @@
 }
 
 // learned tells whether the times were observed rather than declared.
-func (r *runTimes) learned() bool { return r.runs >= enoughRuns }
+func (r *runTimes) learned() bool { return r.runs >= minLearnedRuns }
--- a/sched/timer.go
+++ b/sched/timer.go
@@ -7,9 +7,9 @@
 
 // timer is something to do at a time, at position index of the heap.
 type timer struct {
-	at    time.Duration
-	do    func(now time.Duration)
-	index int
+	at        time.Duration
+	call      func(now time.Duration)
+	heapIndex int
 }
 
 // timers is a heap of timers, the earliest first.
@@ -20,13 +20,13 @@
 
 func (t timers) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
-	t[i].index, t[j].index = i, j
+	t[i].heapIndex, t[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
 func (t *timers) Push(x any) {
 	n := x.(*timer)
-	n.index = len(*t)
+	n.heapIndex = len(*t)
 	*t = append(*t, n)
 }
 
@@ -36,27 +36,27 @@
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
 	*t = old[:len(old)-1]
-	last.index = -1
+	last.heapIndex = -1
 	return last
 }
 
 // after arranges for do to be called by the first Tick at or after a time.
-func (s *Scheduler) after(at time.Duration, do func(now time.Duration)) *timer {
-	t := &timer{at: at, do: do}
+func (s *Scheduler) setTimer(at time.Duration, do func(now time.Duration)) *timer {
+	t := &timer{at: at, call: do}
 	heap.Push(&s.timers, t)
 	return t
 }
 
 // stop stops a timer that may have fired.
-func (s *Scheduler) stop(t *timer) {
-	if t != nil && t.index >= 0 {
-		heap.Remove(&s.timers, t.index)
+func (s *Scheduler) stopTimer(t *timer) {
+	if t != nil && t.heapIndex >= 0 {
+		heap.Remove(&s.timers, t.heapIndex)
 	}
 }
 
 // fire runs what is due.
-func (s *Scheduler) fire(now time.Duration) {
+func (s *Scheduler) fireTimers(now time.Duration) {
 	for len(s.timers) > 0 && s.timers[0].at <= now {
-		heap.Pop(&s.timers).(*timer).do(now)
+		heap.Pop(&s.timers).(*timer).call(now)
 	}
 }
--- a/sched/worker.go
+++ b/sched/worker.go
@@ -25,7 +25,7 @@
 	// leaving is set once the worker itself, or a peer, said that it is leaving.
 	leaving bool
 	// gone is set when the worker left the list while tasks were still running.
-	gone bool
+	removed bool
 	health
 }
 
@@ -37,7 +37,7 @@
 
 // usable tells whether the worker may get work at all, now or later.
 func (w *worker) usable() bool {
-	return !w.Drained && !w.leaving && !w.gone
+	return !w.Drained && !w.leaving && !w.removed
 }
 
 // SetWorkers replaces the list of workers and this entry's shares. Tasks running on
@@ -46,25 +46,25 @@
 func (s *Scheduler) SetWorkers(now time.Duration, list []Worker) {
 	old := s.workers
 	s.workers = make(map[string]*worker, len(list))
-	s.list = s.list[:0]
+	s.workerList = s.workerList[:0]
 	for _, w := range list {
 		n := old[w.Address]
 		if n == nil {
-			n = newWorker(w, s.lent.Lent(w.Address))
+			n = newWorker(w, s.ledger.Lent(w.Address))
 		}
 		delete(old, w.Address)
 		n.Worker = w
 		n.leaving = false
 		n.own.slots = w.Slots
 		s.workers[w.Address] = n
-		s.list = append(s.list, n)
-		s.place(n)
+		s.workerList = append(s.workerList, n)
+		s.reindex(n)
 	}
 	for _, o := range old {
-		o.gone = true
-		s.place(o)
+		o.removed = true
+		s.reindex(o)
 		for _, k := range s.kindList {
-			k.forget(o.Address)
+			k.forgetWorker(o.Address)
 		}
 	}
 	s.capacities.stale = true
@@ -75,6 +75,6 @@
 func (s *Scheduler) SetLeaving(address string) {
 	if w := s.workers[address]; w != nil {
 		w.leaving = true
-		s.place(w)
+		s.reindex(w)
 	}
 }
