--- a/slot/ledger.go
+++ b/slot/ledger.go
@@ -32,17 +32,17 @@
 // A term counts from when the lender received the request; the borrower counts the
 // same term from when it sent it, so the borrower stops first whatever the delay.
 type Ledger struct {
-	next  LoanID
-	loans map[LoanID]*lent
+	lastID LoanID
+	loans  map[LoanID]*loanRecord
 	// slots counts the lent slots of each worker.
-	slots map[string]int
-	total int
+	lentByWorker map[string]int
+	total        int
 	// earliest is not after the end of any loan.
-	earliest time.Duration
+	earliestEnd time.Duration
 }
 
 // lent is one loan as the lender sees it.
-type lent struct {
+type loanRecord struct {
 	borrower Borrower
 	until    time.Duration
 	slots    []WorkerSlots
@@ -50,45 +50,45 @@
 
 // NewLedger returns an empty book.
 func NewLedger() *Ledger {
-	return &Ledger{loans: make(map[LoanID]*lent), slots: make(map[string]int)}
+	return &Ledger{loans: make(map[LoanID]*loanRecord), lentByWorker: make(map[string]int)}
 }
 
 // Lent returns how many slots of a worker are lent.
-func (l *Ledger) Lent(worker string) int { return l.slots[worker] }
+func (l *Ledger) Lent(worker string) int { return l.lentByWorker[worker] }
 
 // Total returns how many slots are lent.
 func (l *Ledger) Total() int { return l.total }
 
 // Lend records a loan received at now.
 func (l *Ledger) Lend(now time.Duration, b Borrower, slots []WorkerSlots, term time.Duration) LoanID {
-	l.next++
+	l.lastID++
 	until := now + term
-	if len(l.loans) == 0 || until < l.earliest {
-		l.earliest = until
+	if len(l.loans) == 0 || until < l.earliestEnd {
+		l.earliestEnd = until
 	}
-	l.loans[l.next] = &lent{borrower: b, until: until, slots: slices.Clone(slots)}
+	l.loans[l.lastID] = &loanRecord{borrower: b, until: until, slots: slices.Clone(slots)}
 	for _, s := range slots {
-		l.add(s.Worker, s.Slots)
+		l.adjust(s.Worker, s.Slots)
 	}
-	return l.next
+	return l.lastID
 }
 
-func (l *Ledger) add(worker string, n int) {
+func (l *Ledger) adjust(worker string, n int) {
 	l.total += n
-	l.slots[worker] += n
-	if l.slots[worker] == 0 {
-		delete(l.slots, worker)
+	l.lentByWorker[worker] += n
+	if l.lentByWorker[worker] == 0 {
+		delete(l.lentByWorker, worker)
 	}
 }
 
 // Extend makes a loan last for another term from now; false when it has ended or is
 // another's. A late copy of the message leaves a slot idle at worst.
 func (l *Ledger) Extend(now time.Duration, b Borrower, id LoanID, term time.Duration) bool {
-	n := l.loans[id]
-	if n == nil || n.borrower != b || n.until <= now {
+	record := l.loans[id]
+	if record == nil || record.borrower != b || record.until <= now {
 		return false
 	}
-	n.until = max(n.until, now+term)
+	record.until = max(record.until, now+term)
 	return true
 }
 
@@ -96,55 +96,55 @@
 // part says how many slots of each worker the borrower keeps, not how many it returns:
 // so a doubled, late or overtaken message returns nothing that is still in use.
 func (l *Ledger) Return(b Borrower, part Loan) []string {
-	n := l.loans[part.ID]
-	if n == nil || n.borrower != b {
+	record := l.loans[part.ID]
+	if record == nil || record.borrower != b {
 		return nil
 	}
 	var changed []string
 	for _, s := range part.Slots {
-		if l.keep(n, s) {
+		if l.reduce(record, s) {
 			changed = append(changed, s.Worker)
 		}
 	}
-	if len(n.slots) == 0 {
+	if len(record.slots) == 0 {
 		delete(l.loans, part.ID)
 	}
 	return changed
 }
 
 // keep lets a loan keep at most some slots of one worker.
-func (l *Ledger) keep(n *lent, s WorkerSlots) bool {
-	i := slices.IndexFunc(n.slots, func(h WorkerSlots) bool { return h.Worker == s.Worker })
-	if i < 0 || s.Slots < 0 || s.Slots >= n.slots[i].Slots {
+func (l *Ledger) reduce(record *loanRecord, kept WorkerSlots) bool {
+	i := slices.IndexFunc(record.slots, func(h WorkerSlots) bool { return h.Worker == kept.Worker })
+	if i < 0 || kept.Slots < 0 || kept.Slots >= record.slots[i].Slots {
 		return false
 	}
-	count := n.slots[i].Slots - s.Slots
-	n.slots[i].Slots = s.Slots
-	if n.slots[i].Slots == 0 {
-		n.slots = slices.Delete(n.slots, i, i+1)
+	count := record.slots[i].Slots - kept.Slots
+	record.slots[i].Slots = kept.Slots
+	if record.slots[i].Slots == 0 {
+		record.slots = slices.Delete(record.slots, i, i+1)
 	}
-	l.add(s.Worker, -count)
+	l.adjust(kept.Worker, -count)
 	return true
 }
 
 // Expire ends the loans whose term is over and returns their workers.
 func (l *Ledger) Expire(now time.Duration) []string {
-	if len(l.loans) == 0 || now < l.earliest {
+	if len(l.loans) == 0 || now < l.earliestEnd {
 		return nil
 	}
 	var changed []string
 	first := true
-	for id, n := range l.loans {
-		if n.until <= now {
-			for _, s := range n.slots {
-				l.add(s.Worker, -s.Slots)
+	for id, record := range l.loans {
+		if record.until <= now {
+			for _, s := range record.slots {
+				l.adjust(s.Worker, -s.Slots)
 				changed = append(changed, s.Worker)
 			}
 			delete(l.loans, id)
 			continue
 		}
-		if first || n.until < l.earliest {
-			l.earliest = n.until
+		if first || record.until < l.earliestEnd {
+			l.earliestEnd = record.until
 			first = false
 		}
 	}
--- a/slot/share.go
+++ b/slot/share.go
@@ -14,8 +14,8 @@
 	if n == 0 || slots <= 0 {
 		return 0
 	}
-	own := rank(worker, self)
-	above := 0
+	ownRank := rank(worker, self)
+	rankedAbove := 0
 	found := false
 	for _, m := range members {
 		if m == self {
@@ -23,15 +23,15 @@
 			continue
 		}
 		r := rank(worker, m)
-		if r > own || r == own && m.Compare(self) > 0 {
-			above++
+		if r > ownRank || r == ownRank && m.Compare(self) > 0 {
+			rankedAbove++
 		}
 	}
 	if !found {
 		return 0
 	}
 	share := slots / n
-	if above < slots%n {
+	if rankedAbove < slots%n {
 		share++
 	}
 	return share
