--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -8,9 +8,9 @@
 
 const (
 	// burst is the time for which an unused share is saved up.
-	burst = time.Second
+	burstPeriod = time.Second
 	// longestWait bounds the time after which a refused caller is told to come back.
-	longestWait = 10 * time.Second
+	maxRetryAfter = 10 * time.Second
 )
 
 // Limiter holds teams to this entry's shares of their quotas. It is not safe for
@@ -28,10 +28,10 @@
 	limited bool
 	balance float64
 	// promised are the starts of refused callers who were told when to come back.
-	promised float64
-	at       time.Duration
+	promisedStarts float64
+	refilledAt     time.Duration
 	// offered counts the starts asked for since the last period.
-	offered float64
+	demand float64
 }
 
 // NewLimiter returns a limiter without quotas.
@@ -49,7 +49,7 @@
 	for team, rate := range shares {
 		b := l.bucket(now, team)
 		if !b.limited {
-			b.balance = max(1, rate*burst.Seconds())
+			b.balance = max(1, rate*burstPeriod.Seconds())
 		}
 		b.limited, b.rate = true, rate
 	}
@@ -58,7 +58,7 @@
 func (l *Limiter) bucket(now time.Duration, team string) *bucket {
 	b := l.teams[team]
 	if b == nil {
-		b = &bucket{at: now}
+		b = &bucket{refilledAt: now}
 		l.teams[team] = b
 	}
 	return b
@@ -69,13 +69,13 @@
 func (l *Limiter) Admit(now time.Duration, team string, starts int) *verdict.Failure {
 	b := l.bucket(now, team)
 	b.refill(now)
-	b.offered += float64(starts)
+	b.demand += float64(starts)
 	if !b.limited {
 		return nil
 	}
 	if b.balance <= 0 {
 		return verdict.New(verdict.NotRun, verdict.OverQuota,
-			"team %s is over its quota of task starts per second", team).After(b.promise(starts))
+			"team %s is over its quota of task starts per second", team).After(b.retryAfter(starts))
 	}
 	b.balance -= float64(starts)
 	return nil
@@ -93,29 +93,29 @@
 func (l *Limiter) CollectDemand() map[string]float64 {
 	out := make(map[string]float64, len(l.teams))
 	for team, b := range l.teams {
-		out[team] = b.offered
-		if b.offered == 0 && !b.limited {
+		out[team] = b.demand
+		if b.demand == 0 && !b.limited {
 			delete(l.teams, team)
 		}
-		b.offered = 0
+		b.demand = 0
 	}
 	return out
 }
 
 func (b *bucket) refill(now time.Duration) {
-	gained := b.rate * (now - b.at).Seconds()
-	b.at = now
-	b.balance = min(b.balance+gained, max(1, b.rate*burst.Seconds()))
-	b.promised = max(0, b.promised-gained)
+	gained := b.rate * (now - b.refilledAt).Seconds()
+	b.refilledAt = now
+	b.balance = min(b.balance+gained, max(1, b.rate*burstPeriod.Seconds()))
+	b.promisedStarts = max(0, b.promisedStarts-gained)
 }
 
 // promise returns the time after which the debt and the starts promised to earlier
 // refused callers are paid off, so that not all come back at the same moment.
-func (b *bucket) promise(starts int) time.Duration {
+func (b *bucket) retryAfter(starts int) time.Duration {
 	if b.rate <= 0 {
-		return longestWait
+		return maxRetryAfter
 	}
-	wait := time.Duration((1 - b.balance + b.promised) / b.rate * float64(time.Second))
-	b.promised += float64(starts)
-	return min(max(wait, time.Millisecond), longestWait)
+	wait := time.Duration((1 - b.balance + b.promisedStarts) / b.rate * float64(time.Second))
+	b.promisedStarts += float64(starts)
+	return min(max(wait, time.Millisecond), maxRetryAfter)
 }
--- a/quota/share.go
+++ b/quota/share.go
@@ -9,7 +9,7 @@
 
 // floorPart is the part of a limit that is divided equally whatever the demand, so
 // that an entry without demand so far can start at once.
-const floorPart = 0.2
+const equalFraction = 0.2
 
 // Entry is a live entry as the computing one sees it.
 type Entry struct {
@@ -30,61 +30,61 @@
 
 // RateShare returns this entry's share of a limit, at most the whole limit.
 func RateShare(limit float64, v View) float64 {
-	visible := 0
-	for _, heard := range v.heard() {
-		if heard {
-			visible++
+	liveDomains := 0
+	for _, live := range v.domainLiveness() {
+		if live {
+			liveDomains++
 		}
 	}
-	if visible == 0 {
+	if liveDomains == 0 {
 		return 0
 	}
-	return limit * float64(visible) / float64(len(v.heard())) * v.weight(v.index())
+	return limit * float64(liveDomains) / float64(len(v.domainLiveness())) * v.weight(v.selfIndex())
 }
 
 // TaskShare returns this entry's share of a number of tasks. Shares are whole: what is
 // left over goes to the largest remainders, so that the shares of equal views add up
 // to the limit or, while a failure domain is not heard, to the others' part of it.
 func TaskShare(limit int, v View) int {
-	heard := v.heard()
-	part := 0
-	for at, h := range heard {
-		if h {
-			part += divided(limit, len(heard), at)
+	live := v.domainLiveness()
+	available := 0
+	for at, isLive := range live {
+		if isLive {
+			available += equalPart(limit, len(live), at)
 		}
 	}
-	if v.index() < 0 {
+	if v.selfIndex() < 0 {
 		return 0
 	}
-	type claim struct {
+	type allotment struct {
 		whole     int
 		remainder float64
 		at        int
 	}
-	claims := make([]claim, len(v.Live))
-	left := part
+	allotments := make([]allotment, len(v.Live))
+	left := available
 	for at := range v.Live {
-		exact := float64(part) * v.weight(at)
+		exact := float64(available) * v.weight(at)
 		whole := int(math.Floor(exact))
-		claims[at] = claim{whole: whole, remainder: exact - float64(whole), at: at}
+		allotments[at] = allotment{whole: whole, remainder: exact - float64(whole), at: at}
 		left -= whole
 	}
-	slices.SortFunc(claims, func(a, b claim) int {
+	slices.SortFunc(allotments, func(a, b allotment) int {
 		if c := cmp.Compare(b.remainder, a.remainder); c != 0 {
 			return c
 		}
 		return v.Live[a.at].Address.Compare(v.Live[b.at].Address)
 	})
-	for rank, c := range claims {
+	for rank, c := range allotments {
 		if v.Live[c.at].Address == v.Self {
-			return c.whole + divided(left, len(claims), rank)
+			return c.whole + equalPart(left, len(allotments), rank)
 		}
 	}
 	return 0
 }
 
 // divided returns the at-th of n nearly equal whole parts.
-func divided(total, n, at int) int {
+func equalPart(total, n, at int) int {
 	part := total / n
 	if at < total%n {
 		part++
@@ -94,22 +94,22 @@
 
 // heard tells for each failure domain whether any of its entries is live; domains of
 // live entries that are not listed come last.
-func (v View) heard() []bool {
+func (v View) domainLiveness() []bool {
 	names := slices.Clone(v.Domains)
 	for _, e := range v.Live {
 		if !slices.Contains(names, e.Domain) {
 			names = append(names, e.Domain)
 		}
 	}
-	heard := make([]bool, len(names))
+	live := make([]bool, len(names))
 	for _, e := range v.Live {
-		heard[slices.Index(names, e.Domain)] = true
+		live[slices.Index(names, e.Domain)] = true
 	}
-	return heard
+	return live
 }
 
 // index returns the place of the computing entry among the live ones, or -1.
-func (v View) index() int {
+func (v View) selfIndex() int {
 	return slices.IndexFunc(v.Live, func(e Entry) bool { return e.Address == v.Self })
 }
 
@@ -126,27 +126,27 @@
 	if sum <= 0 {
 		return 1 / n
 	}
-	return floorPart/n + (1-floorPart)*v.Live[at].Demand/sum
+	return equalFraction/n + (1-equalFraction)*v.Live[at].Demand/sum
 }
 
 // Demand smooths an entry's own demand and holds it back by one period: Reported is for
 // the peers, Delayed for the entry's own computation.
 type Demand struct {
-	told float64
-	own  float64
+	reported float64
+	delayed  float64
 }
 
 // smoothing is the weight of the newest period.
-const smoothing = 0.5
+const newestWeight = 0.5
 
 // Observe ends a period of at least the longest time between two heartbeats.
 func (d *Demand) Observe(demand float64) {
-	d.own = d.told
-	d.told += smoothing * (demand - d.told)
+	d.delayed = d.reported
+	d.reported += newestWeight * (demand - d.reported)
 }
 
 // Reported returns what the peers are told.
-func (d *Demand) Reported() float64 { return d.told }
+func (d *Demand) Reported() float64 { return d.reported }
 
 // Delayed returns what the peers have been told for a period.
-func (d *Demand) Delayed() float64 { return d.own }
+func (d *Demand) Delayed() float64 { return d.delayed }
