--- a/submission/id.go
+++ b/submission/id.go
@@ -16,14 +16,14 @@
 
 // Sizes of the parts of an identifier, in bytes.
 const (
-	addressSize = 16
-	nonceSize   = 16
-	macSize     = 16
-	sumSize     = 4
-	idSize      = 1 + addressSize + 2 + 8 + 8 + nonceSize + macSize + sumSize
-	idVersion   = 1
+	addressSize  = 16
+	nonceSize    = 16
+	macSize      = 16
+	checksumSize = 4
+	idSize       = 1 + addressSize + 2 + 8 + 8 + nonceSize + macSize + checksumSize
+	idVersion    = 1
 	// shownPrefix is how much of an identifier's nonce may appear in logs.
-	shownPrefix = 4
+	logPrefixSize = 4
 )
 
 // Errors of identifiers.
@@ -49,7 +49,7 @@
 
 // String returns the identifier's text.
 func (id ID) String() string {
-	b := id.signed()
+	b := id.signedBytes()
 	b = append(b, id.mac[:]...)
 	b = binary.BigEndian.AppendUint32(b, checksum(b))
 	return base64.RawURLEncoding.EncodeToString(b)
@@ -58,7 +58,7 @@
 // Short returns a prefix that identifies the submission in logs without giving
 // away the identifier.
 func (id ID) Short() string {
-	return base64.RawURLEncoding.EncodeToString(id.nonce[:shownPrefix])
+	return base64.RawURLEncoding.EncodeToString(id.nonce[:logPrefixSize])
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -70,7 +70,7 @@
 func checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
 
 // signed returns the bytes that the MAC covers.
-func (id ID) signed() []byte {
+func (id ID) signedBytes() []byte {
 	b := make([]byte, 0, idSize)
 	b = append(b, idVersion)
 	addr := id.Owner.Addr().As16()
@@ -93,7 +93,7 @@
 	if err != nil || len(b) != idSize || b[0] != idVersion {
 		return ID{}, ErrMalformed
 	}
-	if sum := idSize - sumSize; checksum(b[:sum]) != binary.BigEndian.Uint32(b[sum:]) {
+	if sum := idSize - checksumSize; checksum(b[:sum]) != binary.BigEndian.Uint32(b[sum:]) {
 		return ID{}, ErrMalformed
 	}
 	b = b[1:]
@@ -105,7 +105,7 @@
 	}
 	b = b[10:]
 	ms := binary.BigEndian.Uint64(b)
-	if ms > uint64(maxMinted/time.Millisecond) {
+	if ms > uint64(maxMintedAt/time.Millisecond) {
 		return ID{}, ErrMalformed
 	}
 	id.MintedAt = time.Duration(ms) * time.Millisecond
@@ -116,7 +116,7 @@
 }
 
 // maxMinted bounds the time of minting, so that adding to it can't overflow.
-const maxMinted = 100 * 365 * 24 * time.Hour
+const maxMintedAt = 100 * 365 * 24 * time.Hour
 
 // Minter mints and verifies the identifiers of one process. Its key never leaves
 // the process, so only this process can tell its identifiers from forged ones.
@@ -163,7 +163,7 @@
 // mac covers the team too: another team's identifier is as good as a forged one.
 func (m *Minter) mac(id ID, team string) [macSize]byte {
 	h := hmac.New(sha256.New, m.key[:])
-	h.Write(id.signed())
+	h.Write(id.signedBytes())
 	h.Write([]byte(team))
 	return [macSize]byte(h.Sum(nil))
 }
--- a/submission/predecessors.go
+++ b/submission/predecessors.go
@@ -30,24 +30,24 @@
 // Predecessors holds the processes whose records this one took over. It is safe for
 // concurrent use.
 type Predecessors struct {
-	mu    sync.Mutex
-	known map[Process]*takenOver
+	mu     sync.Mutex
+	states map[Process]*predecessorState
 }
 
 // takenOver is what is known of a predecessor.
-type takenOver struct {
+type predecessorState struct {
 	// ahead is what its clock is ahead of this process's, at least.
-	ahead  time.Duration
-	window time.Duration
+	clockAhead time.Duration
+	window     time.Duration
 	// until is the time at which it may be forgotten.
-	until time.Duration
+	forgetAfter time.Duration
 	// complete is set once all its records have been adopted.
 	complete bool
 }
 
 // NewPredecessors returns an empty set.
 func NewPredecessors() *Predecessors {
-	return &Predecessors{known: make(map[Process]*takenOver)}
+	return &Predecessors{states: make(map[Process]*predecessorState)}
 }
 
 // Add takes in one part of a predecessor's handover; last tells that it is the last
@@ -59,26 +59,26 @@
 func (p *Predecessors) Add(s Predecessor, last bool, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for k, t := range p.known {
-		if now > t.until {
-			delete(p.known, k)
+	for k, state := range p.states {
+		if now > state.forgetAfter {
+			delete(p.states, k)
 		}
 	}
-	t := p.known[s.Process]
-	if t == nil {
-		t = &takenOver{ahead: s.Clock - now, window: s.Window, until: now + s.KeepFor}
-		p.known[s.Process] = t
+	state := p.states[s.Process]
+	if state == nil {
+		state = &predecessorState{clockAhead: s.Clock - now, window: s.Window, forgetAfter: now + s.KeepFor}
+		p.states[s.Process] = state
 	}
-	t.ahead = max(t.ahead, s.Clock-now)
-	t.complete = t.complete || last
+	state.clockAhead = max(state.clockAhead, s.Clock-now)
+	state.complete = state.complete || last
 }
 
 // Complete reports whether a process handed everything over to this one.
 func (p *Predecessors) Complete(s Process) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t := p.known[s]
-	return t != nil && t.complete
+	state := p.states[s]
+	return state != nil && state.complete
 }
 
 // NeverStarted reports whether it is certain that nothing started under an identifier
@@ -88,8 +88,8 @@
 func (p *Predecessors) NeverStarted(id ID, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t := p.known[id.Process()]
-	return t != nil && t.complete && now+t.ahead < id.MintedAt+t.window
+	state := p.states[id.Process()]
+	return state != nil && state.complete && now+state.clockAhead < id.MintedAt+state.window
 }
 
 // All returns the predecessors as they have to be handed on.
@@ -97,9 +97,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var all []Predecessor
-	for process, t := range p.known {
-		if t.complete && now <= t.until {
-			all = append(all, Predecessor{Process: process, Clock: now + t.ahead, Window: t.window, KeepFor: t.until - now})
+	for process, state := range p.states {
+		if state.complete && now <= state.forgetAfter {
+			all = append(all, Predecessor{Process: process, Clock: now + state.clockAhead, Window: state.window, KeepFor: state.forgetAfter - now})
 		}
 	}
 	return all
