--- a/slot/doc.go
+++ b/slot/doc.go
@@ -1,9 +1,9 @@
-// Package slot decides who may use which slot of which worker.
+// Package slot divides the slots of workers among entries and records slot loans.
 //
-// The slots of a worker are divided among the live entries of its failure domain by
-// Share, a function of the members and the worker alone, so entries with equal views
-// agree without a message. Views differ for some seconds after a failure; the worst
-// result is a worker that refuses a task it has no slot for.
+// Share divides the slots of a worker among the live entries of the worker's failure
+// domain. It depends only on the members and the worker, so entries with equal views
+// agree without exchanging messages. Views can differ for some seconds after a failure.
+// The worst result is that a worker refuses a task for which it has no slot.
 //
-// Ledger is a lender's book of the slots of its share that peers may use for a term.
+// Ledger records, for a lender, which slots of its share are lent to peers for a term.
 package slot
--- a/slot/example_test.go
+++ b/slot/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/lavendercleat/lavendercleat/slot"
 )
 
-// Three entries work out their shares of one worker's slots, each by itself; the
-// shares add up to the worker's slots.
+// Three entries compute their shares of one worker's slots independently. The shares add
+// up to the worker's slots.
 func ExampleShare() {
 	members := []netip.AddrPort{
 		netip.MustParseAddrPort("10.0.0.1:7403"),
--- a/slot/ledger.go
+++ b/slot/ledger.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// LoanID names a loan at its lender.
+// LoanID identifies a loan at its lender.
 type LoanID uint64
 
 // WorkerSlots is a number of slots on one worker.
@@ -14,41 +14,41 @@
 	Slots  int
 }
 
-// Loan is a loan's slots, or the part of them that is meant.
+// Loan is a loan with all or some of its slots.
 type Loan struct {
 	ID    LoanID
 	Slots []WorkerSlots
 }
 
-// Borrower names the process that borrowed.
+// Borrower identifies the process that borrowed slots.
 type Borrower struct {
 	Address     string
 	Incarnation uint64
 }
 
-// Ledger is a lender's book of the slots that it lent. It is not safe for concurrent
-// use.
+// Ledger records the slots that a lender has lent. It is not safe for concurrent use.
 //
-// A term counts from when the lender received the request; the borrower counts the
-// same term from when it sent it, so the borrower stops first whatever the delay.
+// The lender counts the term from the receipt of the request, and the borrower counts the
+// same term from the sending. So the borrower stops using the slots before the lender
+// takes them back, whatever the message delay.
 type Ledger struct {
 	lastID LoanID
 	loans  map[LoanID]*loanRecord
-	// slots counts the lent slots of each worker.
+	// lentByWorker is the number of lent slots of each worker.
 	lentByWorker map[string]int
 	total        int
-	// earliest is not after the end of any loan.
+	// earliestEnd is a lower bound of the ends of all loans.
 	earliestEnd time.Duration
 }
 
-// lent is one loan as the lender sees it.
+// loanRecord is the lender's record of one loan.
 type loanRecord struct {
 	borrower Borrower
 	until    time.Duration
 	slots    []WorkerSlots
 }
 
-// NewLedger returns an empty book.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
 	return &Ledger{loans: make(map[LoanID]*loanRecord), lentByWorker: make(map[string]int)}
 }
@@ -59,7 +59,7 @@
 // Total returns how many slots are lent.
 func (l *Ledger) Total() int { return l.total }
 
-// Lend records a loan received at now.
+// Lend records a loan whose request was received at now, and returns its ID.
 func (l *Ledger) Lend(now time.Duration, b Borrower, slots []WorkerSlots, term time.Duration) LoanID {
 	l.lastID++
 	until := now + term
@@ -73,6 +73,7 @@
 	return l.lastID
 }
 
+// adjust adds n to the number of lent slots of a worker.
 func (l *Ledger) adjust(worker string, n int) {
 	l.total += n
 	l.lentByWorker[worker] += n
@@ -81,8 +82,9 @@
 	}
 }
 
-// Extend makes a loan last for another term from now; false when it has ended or is
-// another's. A late copy of the message leaves a slot idle at worst.
+// Extend prolongs a loan to at least one term from now. It returns false if the loan has
+// ended or belongs to another borrower. A late copy of the request can at worst leave a
+// slot idle.
 func (l *Ledger) Extend(now time.Duration, b Borrower, id LoanID, term time.Duration) bool {
 	record := l.loans[id]
 	if record == nil || record.borrower != b || record.until <= now {
@@ -92,9 +94,10 @@
 	return true
 }
 
-// Return takes back slots before the end of the term and returns their workers. The
-// part says how many slots of each worker the borrower keeps, not how many it returns:
-// so a doubled, late or overtaken message returns nothing that is still in use.
+// Return takes back slots before the end of the term and returns the workers whose lent
+// slots changed. The part says how many slots of each worker the borrower keeps, not how
+// many it returns. So a duplicate, late or reordered message takes back no slot that is
+// still in use.
 func (l *Ledger) Return(b Borrower, part Loan) []string {
 	record := l.loans[part.ID]
 	if record == nil || record.borrower != b {
@@ -112,7 +115,8 @@
 	return changed
 }
 
-// keep lets a loan keep at most some slots of one worker.
+// reduce lowers a loan's slots on one worker to those kept. It returns false if the loan
+// has no more slots there than that.
 func (l *Ledger) reduce(record *loanRecord, kept WorkerSlots) bool {
 	i := slices.IndexFunc(record.slots, func(h WorkerSlots) bool { return h.Worker == kept.Worker })
 	if i < 0 || kept.Slots < 0 || kept.Slots >= record.slots[i].Slots {
--- a/slot/share.go
+++ b/slot/share.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Share returns how many of a worker's slots belong to self, one of the members of
-// the worker's failure domain. Every member gets the whole part of slots/len(members);
-// what is left over goes to the members that rank highest for this worker.
+// Share returns how many of a worker's slots belong to self, a member of the worker's
+// failure domain. Every member gets the integer part of slots/len(members). The members
+// that rank highest for this worker get one of the remaining slots each.
 func Share(worker string, slots int, members []netip.AddrPort, self netip.AddrPort) int {
 	n := len(members)
 	if n == 0 || slots <= 0 {
@@ -37,7 +37,8 @@
 	return share
 }
 
-// rank orders members per worker, so that left-over slots spread evenly.
+// rank returns a hash that orders the members differently for each worker, so that the
+// remaining slots spread evenly over the members (rendezvous hashing).
 func rank(worker string, member netip.AddrPort) uint64 {
 	var buf [64]byte
 	b := append(buf[:0], worker...)
