--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -7,38 +7,40 @@
 )
 
 const (
-	// burst is the time for which an unused share is saved up.
+	// burstPeriod is the time for which a bucket saves up an unused share.
 	burstPeriod = time.Second
-	// longestWait bounds the time after which a refused caller is told to come back.
+	// maxRetryAfter bounds the Retry-After of a refusal.
 	maxRetryAfter = 10 * time.Second
 )
 
-// Limiter holds teams to this entry's shares of their quotas. It is not safe for
+// Limiter limits teams to this entry's shares of their quotas. It is not safe for
 // concurrent use.
 type Limiter struct {
 	teams map[string]*bucket
 }
 
-// bucket is one team's balance of task starts. A job is admitted while the balance is
-// above zero and may overdraw it, so that a job larger than the saved-up share is not
-// refused for ever; the debt is paid off before the next one.
+// bucket is the token bucket of one team, in task starts. It admits a job while the
+// balance is above zero. The job may overdraw the balance, so that a job larger than the
+// saved-up share is not refused forever. The refill pays off the debt before the next job
+// is admitted.
 type bucket struct {
-	// rate is the share in task starts per second; limited is false without a quota.
+	// rate is the share in task starts per second. limited is false without a quota.
 	rate    float64
 	limited bool
 	balance float64
-	// promised are the starts of refused callers who were told when to come back.
+	// promisedStarts is the number of starts of refused callers that were told when to
+	// retry.
 	promisedStarts float64
 	refilledAt     time.Duration
-	// offered counts the starts asked for since the last period.
+	// demand is the number of starts requested since the last CollectDemand.
 	demand float64
 }
 
 // NewLimiter returns a limiter without quotas.
 func NewLimiter() *Limiter { return &Limiter{teams: make(map[string]*bucket)} }
 
-// SetShares replaces the shares, in task starts per second by team. A team that is
-// left out has no quota.
+// SetShares replaces the shares, in task starts per second by team. A team that is left
+// out has no quota.
 func (l *Limiter) SetShares(now time.Duration, shares map[string]float64) {
 	for team, b := range l.teams {
 		b.refill(now)
@@ -55,6 +57,7 @@
 	}
 }
 
+// bucket returns the bucket of a team. It creates a missing one, without a quota.
 func (l *Limiter) bucket(now time.Duration, team string) *bucket {
 	b := l.teams[team]
 	if b == nil {
@@ -64,8 +67,8 @@
 	return b
 }
 
-// Admit admits a job of a number of task starts, or refuses it with the time to come
-// back. Refused jobs count as demand.
+// Admit admits a job with a number of task starts, or refuses it with a Retry-After.
+// Refused jobs count as demand.
 func (l *Limiter) Admit(now time.Duration, team string, starts int) *verdict.Failure {
 	b := l.bucket(now, team)
 	b.refill(now)
@@ -75,21 +78,22 @@
 	}
 	if b.balance <= 0 {
 		return verdict.New(verdict.NotRun, verdict.OverQuota,
-			"team %s is over its quota of task starts per second", team).After(b.retryAfter(starts))
+			"team %s exceeds its quota: this entry's share is %.1f task starts per second", team, b.rate).After(b.retryAfter(starts))
 	}
 	b.balance -= float64(starts)
 	return nil
 }
 
-// Refund gives back the starts of a job that was refused for another reason.
+// Refund gives back the starts of an admitted job that was then refused for another
+// reason.
 func (l *Limiter) Refund(team string, starts int) {
 	if b := l.teams[team]; b != nil {
 		b.balance += float64(starts)
 	}
 }
 
-// CollectDemand returns the task starts asked for since the last call, by team, and forgets
-// the teams without any that have no quota.
+// CollectDemand returns the task starts requested since the last call, by team, and
+// resets them. It drops teams that requested nothing and have no quota.
 func (l *Limiter) CollectDemand() map[string]float64 {
 	out := make(map[string]float64, len(l.teams))
 	for team, b := range l.teams {
@@ -102,6 +106,7 @@
 	return out
 }
 
+// refill adds the share for the time since the last refill to the balance.
 func (b *bucket) refill(now time.Duration) {
 	gained := b.rate * (now - b.refilledAt).Seconds()
 	b.refilledAt = now
@@ -109,8 +114,8 @@
 	b.promisedStarts = max(0, b.promisedStarts-gained)
 }
 
-// promise returns the time after which the debt and the starts promised to earlier
-// refused callers are paid off, so that not all come back at the same moment.
+// retryAfter returns the time until the debt and the starts promised to earlier refused
+// callers are paid off. Counting the promised starts spreads the retries over time.
 func (b *bucket) retryAfter(starts int) time.Duration {
 	if b.rate <= 0 {
 		return maxRetryAfter
--- a/quota/share.go
+++ b/quota/share.go
@@ -7,28 +7,28 @@
 	"slices"
 )
 
-// floorPart is the part of a limit that is divided equally whatever the demand, so
-// that an entry without demand so far can start at once.
+// equalFraction is the fraction of a limit that is divided equally regardless of demand,
+// so that an entry without demand so far can start tasks at once.
 const equalFraction = 0.2
 
-// Entry is a live entry as the computing one sees it.
+// Entry is a live entry in the view of the entry that computes its share.
 type Entry struct {
 	Address netip.AddrPort
 	Domain  string
-	// Demand is what callers ask of the entry, in the unit of the limit.
+	// Demand is the demand of the entry's callers, in the unit of the limit.
 	Demand float64
 }
 
-// View is what an entry knows of the others.
+// View is what an entry knows about all entries.
 type View struct {
 	Self netip.AddrPort
-	// Domains are the failure domains that should have entries, sorted.
+	// Domains are the failure domains that should have entries, sorted by name.
 	Domains []string
-	// Live are the entries that are alive, the computing one included.
+	// Live are the live entries, including the entry itself.
 	Live []Entry
 }
 
-// RateShare returns this entry's share of a limit, at most the whole limit.
+// RateShare returns this entry's share of a rate limit. It is at most the whole limit.
 func RateShare(limit float64, v View) float64 {
 	liveDomains := 0
 	for _, live := range v.domainLiveness() {
@@ -42,9 +42,10 @@
 	return limit * float64(liveDomains) / float64(len(v.domainLiveness())) * v.weight(v.selfIndex())
 }
 
-// TaskShare returns this entry's share of a number of tasks. Shares are whole: what is
-// left over goes to the largest remainders, so that the shares of equal views add up
-// to the limit or, while a failure domain is not heard, to the others' part of it.
+// TaskShare returns this entry's share of a limit on a number of tasks. Shares are
+// integers; the tasks left over after rounding down go to the largest remainders. So the
+// shares of equal views add up to the limit, or to the part of the live domains while a
+// failure domain has no live entry.
 func TaskShare(limit int, v View) int {
 	live := v.domainLiveness()
 	available := 0
@@ -83,7 +84,8 @@
 	return 0
 }
 
-// divided returns the at-th of n nearly equal whole parts.
+// equalPart returns the part with index at if total is divided into n integer parts that
+// differ by at most one.
 func equalPart(total, n, at int) int {
 	part := total / n
 	if at < total%n {
@@ -92,8 +94,8 @@
 	return part
 }
 
-// heard tells for each failure domain whether any of its entries is live; domains of
-// live entries that are not listed come last.
+// domainLiveness returns for each failure domain whether it has a live entry. Domains of
+// live entries that are missing in Domains come last.
 func (v View) domainLiveness() []bool {
 	names := slices.Clone(v.Domains)
 	for _, e := range v.Live {
@@ -108,12 +110,13 @@
 	return live
 }
 
-// index returns the place of the computing entry among the live ones, or -1.
+// selfIndex returns the index of this entry in Live, or -1.
 func (v View) selfIndex() int {
 	return slices.IndexFunc(v.Live, func(e Entry) bool { return e.Address == v.Self })
 }
 
-// weight returns an entry's fraction of what the live entries share.
+// weight returns the fraction that a live entry gets of the limit shared by all live
+// entries.
 func (v View) weight(at int) float64 {
 	if at < 0 {
 		return 0
@@ -129,24 +132,26 @@
 	return equalFraction/n + (1-equalFraction)*v.Live[at].Demand/sum
 }
 
-// Demand smooths an entry's own demand and holds it back by one period: Reported is for
-// the peers, Delayed for the entry's own computation.
+// Demand smooths an entry's own demand over periods. Reported is the value to report to
+// the peers. Delayed is the value of one period earlier, which the entry uses to compute
+// its own share.
 type Demand struct {
 	reported float64
 	delayed  float64
 }
 
-// smoothing is the weight of the newest period.
+// newestWeight is the weight of the newest period in the smoothed demand.
 const newestWeight = 0.5
 
-// Observe ends a period of at least the longest time between two heartbeats.
+// Observe ends a period with the demand seen in it. A period must last at least as long
+// as the longest time between two heartbeats.
 func (d *Demand) Observe(demand float64) {
 	d.delayed = d.reported
 	d.reported += newestWeight * (demand - d.reported)
 }
 
-// Reported returns what the peers are told.
+// Reported returns the demand to report to the peers.
 func (d *Demand) Reported() float64 { return d.reported }
 
-// Delayed returns what the peers have been told for a period.
+// Delayed returns the demand that has been reported to the peers for one period.
 func (d *Demand) Delayed() float64 { return d.delayed }
