--- a/submission/adopt_test.go
+++ b/submission/adopt_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A submission is canceled before its request comes, and its owner stops. The request
-// comes to the entry that took the answers over: it gets the cancellation, as it would
-// have from the owner, whatever its body is.
+// Guards against answering a canceled request differently after a handover. A submission is
+// canceled before its request arrives, and its owner stops. The request, whatever its
+// body, must get the cancellation from the process that took over the record.
 func TestTakenOverEarlyCancellationAnswersRequest(t *testing.T) {
 	c := TableConfig{Window: time.Minute, Retention: time.Minute, MaxBytes: 1 << 20}
 	owner, successor := NewTable(c), NewTable(c)
--- a/submission/example_test.go
+++ b/submission/example_test.go
@@ -9,8 +9,8 @@
 	"github.com/lavendercleat/lavendercleat/submission"
 )
 
-// The owner mints an identifier and takes a request under it. The first one gets the
-// right to start; a repeated one joins it or gets the same ending.
+// The owner mints an identifier and accepts a request under it. The first request gets the
+// right to start the tasks; a repeated one waits for the same response.
 func Example() {
 	minter := submission.NewMinter(netip.MustParseAddrPort("10.0.0.1:7403"))
 	table := submission.NewTable(submission.TableConfig{
--- a/submission/id.go
+++ b/submission/id.go
@@ -14,7 +14,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Sizes of the parts of an identifier, in bytes.
+// Sizes of the parts of an identifier, in bytes, and its format version.
 const (
 	addressSize  = 16
 	nonceSize    = 16
@@ -22,32 +22,33 @@
 	checksumSize = 4
 	idSize       = 1 + addressSize + 2 + 8 + 8 + nonceSize + macSize + checksumSize
 	idVersion    = 1
-	// shownPrefix is how much of an identifier's nonce may appear in logs.
+	// logPrefixSize is the number of nonce bytes that may appear in logs.
 	logPrefixSize = 4
 )
 
-// Errors of identifiers.
+// Errors returned for invalid identifiers.
 var (
-	// ErrMalformed: the text is no identifier.
+	// ErrMalformed: the text is not an identifier.
 	ErrMalformed = errors.New("malformed identifier")
-	// ErrForged: the identifier was altered, or minted for another team.
+	// ErrForged: the identifier was altered or was minted for another team.
 	ErrForged = errors.New("identifier was not issued to this team")
 )
 
-// ID identifies a submission and names its owner. Knowing it, together with the
-// team's token, is the right to read the answer.
+// ID identifies a submission and names its owner. A client that has the ID and the team's
+// token may read the answer.
 type ID struct {
 	// Owner is the address of the owner's peer interface.
 	Owner netip.AddrPort
 	// Incarnation distinguishes processes at the same address.
 	Incarnation uint64
-	// MintedAt is the time of minting on the owner's clock, in milliseconds.
+	// MintedAt is the time of minting on the owner's clock, a whole number of
+	// milliseconds.
 	MintedAt time.Duration
 	nonce    [nonceSize]byte
 	mac      [macSize]byte
 }
 
-// String returns the identifier's text.
+// String returns the text form of the identifier.
 func (id ID) String() string {
 	b := id.signedBytes()
 	b = append(b, id.mac[:]...)
@@ -55,21 +56,20 @@
 	return base64.RawURLEncoding.EncodeToString(b)
 }
 
-// Short returns a prefix that identifies the submission in logs without giving
-// away the identifier.
+// Short returns a prefix of the nonce, which identifies the submission in logs without
+// disclosing the identifier.
 func (id ID) Short() string {
 	return base64.RawURLEncoding.EncodeToString(id.nonce[:logPrefixSize])
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// checksum lets any entry recognise an identifier that was damaged on its way. Only
-// the owner can check the MAC, and an identifier whose address is damaged leads to no
-// owner: its caller would be told for ever to ask again. It is no protection against
-// forging.
+// checksum lets every entry detect a damaged identifier. Only the owner can check the MAC,
+// and a damaged address leads to no owner, so without a checksum the caller would be told
+// forever to ask again. The checksum does not protect against forgery.
 func checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
 
-// signed returns the bytes that the MAC covers.
+// signedBytes returns the bytes that the MAC covers.
 func (id ID) signedBytes() []byte {
 	b := make([]byte, 0, idSize)
 	b = append(b, idVersion)
@@ -81,11 +81,12 @@
 	return append(b, id.nonce[:]...)
 }
 
-// Parse reads an identifier's text. The result is not yet verified: only the owner
-// can do that.
+// Parse parses the text form of an identifier. The result is not verified, because only
+// the owner can verify it.
 func Parse(text string) (ID, error) {
-	// The decoder skips line breaks, so the length is checked first: with a second text
-	// for one identifier, a record would not be found and be told as never submitted.
+	// The decoder skips line breaks, so check the length first. Otherwise an identifier
+	// would have several text forms, and a lookup under another form would miss the
+	// record and report that the submission was never made.
 	if len(text) != base64.RawURLEncoding.EncodedLen(idSize) {
 		return ID{}, ErrMalformed
 	}
@@ -115,11 +116,11 @@
 	return id, nil
 }
 
-// maxMinted bounds the time of minting, so that adding to it can't overflow.
+// maxMintedAt bounds the time of minting, so that adding to it cannot overflow.
 const maxMintedAt = 100 * 365 * 24 * time.Hour
 
-// Minter mints and verifies the identifiers of one process. Its key never leaves
-// the process, so only this process can tell its identifiers from forged ones.
+// Minter mints and verifies the identifiers of one process. Its key never leaves the
+// process, so only this process can distinguish its identifiers from forged ones.
 type Minter struct {
 	owner       netip.AddrPort
 	incarnation uint64
@@ -142,7 +143,8 @@
 // Owner returns the address of the process.
 func (m *Minter) Owner() netip.AddrPort { return m.owner }
 
-// Mint returns a new identifier for the team. It costs no memory until it is used.
+// Mint returns a new identifier for the team. An identifier takes no memory in the
+// process until it is used.
 func (m *Minter) Mint(team string, now time.Duration) ID {
 	id := ID{Owner: m.owner, Incarnation: m.incarnation, MintedAt: now.Truncate(time.Millisecond)}
 	rand.Read(id.nonce[:])
@@ -150,8 +152,8 @@
 	return id
 }
 
-// Verify returns ErrForged unless this process minted the identifier for the team.
-// The comparison takes constant time, so a guess can't be refined byte by byte.
+// Verify returns ErrForged unless this process minted the identifier for the team. The
+// comparison takes constant time, so that an attacker cannot guess the MAC byte by byte.
 func (m *Minter) Verify(id ID, team string) error {
 	want := m.mac(id, team)
 	if subtle.ConstantTimeCompare(want[:], id.mac[:]) != 1 {
@@ -160,7 +162,8 @@
 	return nil
 }
 
-// mac covers the team too: another team's identifier is as good as a forged one.
+// mac returns the MAC of an identifier. It covers the team, so an identifier of another
+// team fails verification like a forged one.
 func (m *Minter) mac(id ID, team string) [macSize]byte {
 	h := hmac.New(sha256.New, m.key[:])
 	h.Write(id.signedBytes())
--- a/submission/id_test.go
+++ b/submission/id_test.go
@@ -12,14 +12,15 @@
 
 var testOwner = netip.MustParseAddrPort("10.0.0.1:7403")
 
-// forge returns the text of an altered identifier with a right checksum.
+// forge returns the text of an altered identifier with a valid checksum.
 func forge(id ID, alter func([]byte)) string {
 	b := append(id.signedBytes(), id.mac[:]...)
 	alter(b)
 	return base64.RawURLEncoding.EncodeToString(binary.BigEndian.AppendUint32(b, checksum(b)))
 }
 
-// An identifier survives its text, and only its own process takes it for its own.
+// Guards against an identifier that changes in its text form, and against accepting an
+// identifier of another team or process.
 func TestIdentifierRoundTrip(t *testing.T) {
 	m := NewMinter(testOwner)
 	id := m.Mint("team", 1500*time.Millisecond)
@@ -31,7 +32,7 @@
 	assert.ErrorIs(t, NewMinter(testOwner).Verify(back, "team"), ErrForged)
 }
 
-// Any single damaged character is recognised by any entry.
+// Guards against accepting an identifier with one damaged character or a missing end.
 func TestDamagedIdentifierIsMalformed(t *testing.T) {
 	text := NewMinter(testOwner).Mint("team", time.Second).String()
 	for at := range text {
@@ -48,7 +49,8 @@
 	}
 }
 
-// A forger can make the checksum right but not the MAC, whatever byte it changes.
+// Guards against accepting a forged identifier. A forger can compute the checksum but not
+// the MAC, whichever byte it changes.
 func TestForgedIdentifierIsNotVerified(t *testing.T) {
 	m := NewMinter(testOwner)
 	id := m.Mint("team", time.Second)
@@ -61,8 +63,8 @@
 	}
 }
 
-// FuzzParse feeds identifiers as callers may send them. Parsing never panics, accepts
-// one text per identifier, and nothing made up is verified.
+// FuzzParse parses arbitrary texts. Parse must not panic and must accept only one text per
+// identifier, and Verify must reject every identifier that was not minted.
 func FuzzParse(f *testing.F) {
 	m := NewMinter(testOwner)
 	id := m.Mint("team", time.Second)
--- a/submission/predecessors.go
+++ b/submission/predecessors.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Process names one process by address and incarnation.
+// Process identifies a process by address and incarnation.
 type Process struct {
 	Owner       netip.AddrPort
 	Incarnation uint64
@@ -15,33 +15,34 @@
 // Process returns the process that minted the identifier.
 func (id ID) Process() Process { return Process{Owner: id.Owner, Incarnation: id.Incarnation} }
 
-// Predecessor is a process that stopped and handed over every record it kept.
+// Predecessor is a process that stopped and handed over all records that it kept.
 type Predecessor struct {
 	Process Process
-	// Clock is the time on the clock on which it minted identifiers.
+	// Clock is the current time on the clock of the predecessor's identifiers.
 	Clock time.Duration
-	// Window is the time after minting within which its identifiers had to be used
-	// first.
+	// Window is the time after minting within which an identifier of the predecessor had
+	// to be used first.
 	Window time.Duration
-	// KeepFor is the time for which it still has to be known.
+	// KeepFor is the time for which the predecessor must still be remembered.
 	KeepFor time.Duration
 }
 
-// Predecessors holds the processes whose records this one took over. It is safe for
+// Predecessors holds the processes whose records this process took over. It is safe for
 // concurrent use.
 type Predecessors struct {
 	mu     sync.Mutex
 	states map[Process]*predecessorState
 }
 
-// takenOver is what is known of a predecessor.
+// predecessorState is the state of one predecessor.
 type predecessorState struct {
-	// ahead is what its clock is ahead of this process's, at least.
+	// clockAhead is a lower bound of how far the predecessor's clock is ahead of this
+	// process's clock.
 	clockAhead time.Duration
 	window     time.Duration
-	// until is the time at which it may be forgotten.
+	// forgetAfter is the time after which the predecessor may be forgotten.
 	forgetAfter time.Duration
-	// complete is set once all its records have been adopted.
+	// complete is set once all records of the predecessor have been taken over.
 	complete bool
 }
 
@@ -50,12 +51,12 @@
 	return &Predecessors{states: make(map[Process]*predecessorState)}
 }
 
-// Add takes in one part of a predecessor's handover; last tells that it is the last
-// one and that all of them were adopted. Each part must carry the clock at which the
-// times for which its records are kept were counted, and Add must be called with a
-// time read before its records are adopted: then no record is dropped before the
-// estimate of the predecessor's clock has passed its identifier's window, whatever
-// the messages' delays.
+// Add records one part of a predecessor's handover. last is set for the last part, when
+// all parts have been taken over. The Clock of each part must be the time from which the
+// keep times of its records count. now must be read before the records of the part are
+// taken over. These two rules ensure that no record is dropped before the estimate of
+// the predecessor's clock has passed the window of the record's identifier, whatever the
+// message delays.
 func (p *Predecessors) Add(s Predecessor, last bool, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,7 +74,7 @@
 	state.complete = state.complete || last
 }
 
-// Complete reports whether a process handed everything over to this one.
+// Complete reports whether a process handed over all of its records to this process.
 func (p *Predecessors) Complete(s Process) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,10 +82,10 @@
 	return state != nil && state.complete
 }
 
-// NeverStarted reports whether it is certain that nothing started under an identifier
-// of a predecessor that has no adopted record. The predecessor kept each record at
-// least until its identifier's window was over, so within the window a missing record
-// means that there never was one; after it nothing can be told.
+// NeverStarted reports whether it is certain that nothing started under an identifier of
+// a predecessor that has no record here. The predecessor kept each record at least until
+// the window of its identifier was over. So within the window a missing record means that
+// there never was one; after the window a missing record proves nothing.
 func (p *Predecessors) NeverStarted(id ID, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +93,7 @@
 	return state != nil && state.complete && now+state.clockAhead < id.MintedAt+state.window
 }
 
-// All returns the predecessors as they have to be handed on.
+// All returns the predecessors to hand over to a successor of this process.
 func (p *Predecessors) All(now time.Duration) []Predecessor {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/submission/table.go
+++ b/submission/table.go
@@ -11,71 +11,75 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// shardCount is the number of shards of the table, each under its own lock.
+// shardCount is the number of shards of the table. Each shard has its own lock.
 const shardCount = 64
 
-// Digest identifies the body of a request.
+// Digest is the SHA-256 digest of the body of a request.
 type Digest [sha256.Size]byte
 
-// Response is the one ending of a submission, as it is told to the caller.
+// Response is the final response to a submission. Each submission has exactly one.
 type Response struct {
 	// Status is the HTTP status.
 	Status int
 	// Body is the JSON text of the answer.
 	Body []byte
-	// RetryAfter is the time to wait before a new submission; 0 means no advice.
+	// RetryAfter is how long the caller should wait before a new submission; 0 means
+	// unspecified.
 	RetryAfter time.Duration
-	// BadRequest is set when the request itself was at fault: a corrected one may come
-	// under the same identifier.
+	// BadRequest is set when the request itself was at fault. The caller may send a
+	// corrected request under the same identifier.
 	BadRequest bool
 }
 
-// Record is one submission: running until Done is closed, then ended.
+// Record is one submission. It is running until Done is closed, and ended after that.
 type Record struct {
 	ID   string
 	Team string
-	// Digest of the request's body; the same identifier with another body is refused.
+	// Digest is the digest of the request's body. Another body under the same identifier
+	// is refused.
 	Digest Digest
 
-	// early is set when the submission was canceled before its request came.
+	// canceledEarly is set when the submission was canceled before its request arrived.
 	canceledEarly bool
 	mintedAt      time.Duration
 	done          chan struct{}
 	response      Response
-	// keepUntil is the time at which the record is dropped; 0 while it runs.
+	// keepUntil is the time after which Sweep drops the record; 0 while it is running.
 	keepUntil time.Duration
 }
 
-// MintedAt returns the time of minting of the identifier, 0 for an adopted record.
+// MintedAt returns the time at which the identifier was minted, or 0 for a record that
+// was taken over.
 func (r *Record) MintedAt() time.Duration { return r.mintedAt }
 
-// Done is closed once the submission has ended.
+// Done returns a channel that is closed once the submission has ended.
 func (r *Record) Done() <-chan struct{} { return r.done }
 
-// Response returns the ending; only valid once Done is closed.
+// Response returns the final response. It is valid only once Done is closed.
 func (r *Record) Response() Response { return r.response }
 
-// Matches returns an IdentifierReused failure (NotRun) unless digest is that of the
-// record's own request.
+// Matches returns an IdentifierReused failure (NotRun) unless digest is the digest of the
+// record's own request. Any request matches a record that was canceled early.
 func (r *Record) Matches(digest Digest) *verdict.Failure {
 	if r.Digest == digest || r.canceledEarly {
 		return nil
 	}
 	return verdict.New(verdict.NotRun, verdict.IdentifierReused,
-		"another body was sent under this identifier before; reserve a new one")
+		"this identifier was already used with another request body; reserve a new identifier")
 }
 
 // TableConfig holds the settings of a table.
 type TableConfig struct {
 	// Window is the time after minting within which an identifier must be used first.
 	Window time.Duration
-	// Retention is the time for which an ended submission's answer is kept.
+	// Retention is the time for which the answer of an ended submission is kept.
 	Retention time.Duration
-	// MaxBytes bounds the bytes of kept answers.
+	// MaxBytes bounds the total size of kept answers.
 	MaxBytes int64
 }
 
-// Table holds the records of submissions in shards. It is safe for concurrent use.
+// Table holds the records of submissions, divided into shards. It is safe for concurrent
+// use.
 type Table struct {
 	config  TableConfig
 	bytes   atomic.Int64
@@ -84,10 +88,11 @@
 	shards  [shardCount]tableShard
 }
 
+// tableShard is one shard of a Table.
 type tableShard struct {
 	mu      sync.Mutex
 	records map[string]*Record
-	// sealed shards make no record any more.
+	// sealed prevents the creation of records.
 	sealed bool
 }
 
@@ -104,14 +109,16 @@
 	return &t.shards[xxhash.Sum64String(id)%shardCount]
 }
 
-// Begin finds the record of a verified identifier or makes it; first reports that it
-// was made, which gives the right to start its tasks and must be followed by End. A
-// record whose request was refused gives way to another body.
+// Begin returns the record of a verified identifier and creates it if it is missing. first
+// reports that it was created: the caller then has the right to start the tasks of the
+// submission and must call End. If the request of a record ended with BadRequest, a
+// request with another body replaces the record.
 //
-// Errors: IdentifierReused (NotRun) for another body under the identifier,
-// IdentifierExpired (MayHaveRun) when the window is over and there is no record,
-// AnswersFull (MayHaveRun) at the bound of kept answers: nothing is recorded, so a
-// late copy of the request may still be accepted; and Stopping (NotRun) after Seal.
+// Errors: IdentifierReused (NotRun) for another body under the identifier;
+// IdentifierExpired (MayHaveRun) if there is no record and the window is over;
+// AnswersFull (MayHaveRun) when the kept answers have reached MaxBytes: nothing is
+// recorded, so a late copy of the request may still be accepted; Stopping (NotRun) after
+// Seal.
 func (t *Table) Begin(id ID, team string, digest Digest, now time.Duration) (r *Record, first bool, err *verdict.Failure) {
 	text := id.String()
 	s := t.shard(text)
@@ -131,9 +138,10 @@
 	return r, first, err
 }
 
-// BeginCancel finds the record of a verified identifier or makes it for a cancellation that
-// came before the request; the errors are those of Begin. Without the record the
-// request, still on its way, would start after its caller heard that it was canceled.
+// BeginCancel returns the record of a verified identifier, or creates one for a
+// cancellation that arrived before its request. The errors are those of Begin. Without
+// the record, the delayed request would start after its caller was told that it was
+// canceled.
 func (t *Table) BeginCancel(id ID, team string, now time.Duration) (r *Record, first bool, err *verdict.Failure) {
 	text := id.String()
 	s := t.shard(text)
@@ -149,23 +157,24 @@
 	return r, first, err
 }
 
-// make adds a record, or returns why it must not. Called under the shard's lock.
+// create adds a record, or returns the reason for which it must not. The caller holds the
+// shard's lock.
 func (t *Table) create(s *tableShard, id ID, team string, digest Digest, now time.Duration) (*Record, bool, *verdict.Failure) {
-	// Without this check a late copy of a request would start it again once the
-	// record is gone. The record is kept until the window is over, so a copy always
-	// meets the record or an expired identifier. The verdict is MayHaveRun, for an
-	// earlier request may have run whose record is gone: told "not run", its caller
-	// would submit the same work again.
+	// Without this check, a late copy of a request would start the tasks again once the
+	// record has been dropped. A record is kept until the window is over, so a late copy
+	// finds either the record or an expired identifier. The verdict is MayHaveRun because
+	// an earlier request may have run and its record may have been dropped. With NotRun
+	// the caller would submit the same work again.
 	if now > id.MintedAt+t.config.Window {
 		return nil, false, verdict.New(verdict.MayHaveRun, verdict.IdentifierExpired,
-			"the identifier's %s are over; this request started nothing, but an earlier one may have; if there was none, reserve a new identifier", t.config.Window)
+			"the identifier expired %s after it was issued; this request started nothing, but an earlier one may have; if there was no earlier one, reserve a new identifier", t.config.Window)
 	}
 	if s.sealed {
 		return nil, false, FailureNeverStarted()
 	}
 	if t.bytes.Load() >= t.config.MaxBytes {
 		return nil, false, verdict.New(verdict.MayHaveRun, verdict.AnswersFull,
-			"no room to keep another answer; nothing was started; ask again later").After(t.config.Retention / 8)
+			"kept answers have %d bytes of at most %d; this request started nothing; retry later", t.bytes.Load(), t.config.MaxBytes).After(t.config.Retention / 8)
 	}
 	r := &Record{ID: id.String(), Team: team, Digest: digest, mintedAt: id.MintedAt, done: make(chan struct{})}
 	s.records[r.ID] = r
@@ -174,7 +183,7 @@
 	return r, true, nil
 }
 
-// Get returns the record of an identifier, nil when there is none.
+// Get returns the record of an identifier, or nil when there is none.
 func (t *Table) Get(id string) *Record {
 	s := t.shard(id)
 	s.mu.Lock()
@@ -182,7 +191,8 @@
 	return s.records[id]
 }
 
-// End gives the record its one ending; a second call changes nothing and returns false.
+// End ends a record with its final response. It returns false and changes nothing if the
+// record has already ended.
 func (t *Table) End(r *Record, response Response, now time.Duration) bool {
 	s := t.shard(r.ID)
 	s.mu.Lock()
@@ -198,8 +208,9 @@
 	return true
 }
 
-// Seal ends the making of records: once it returns, an identifier within its window
-// that has no record will never start anything, whoever asks.
+// Seal prevents the creation of records. Once it has returned, nothing will ever start
+// under an identifier that is within its window and has no record, whichever process is
+// asked.
 func (t *Table) Seal() {
 	for i := range t.shards {
 		s := &t.shards[i]
@@ -209,14 +220,14 @@
 	}
 }
 
-// FailureNeverStarted is the answer to a request under an identifier of a process that
-// stopped before it was used.
+// FailureNeverStarted returns the failure for a request under an identifier whose process
+// stopped before the identifier was used.
 func FailureNeverStarted() *verdict.Failure {
 	return verdict.New(verdict.NotRun, verdict.Stopping,
-		"the entry that issued this identifier has stopped and started nothing under it; reserve a new one")
+		"the entry that issued this identifier has stopped and started nothing under it; reserve a new identifier")
 }
 
-// TakeOver keeps the ended record of a process that stopped; an existing one wins.
+// TakeOver stores the ended record of a process that stopped. An existing record is kept.
 func (t *Table) TakeOver(id, team string, digest Digest, response Response, keep, now time.Duration) {
 	s := t.shard(id)
 	s.mu.Lock()
@@ -225,8 +236,9 @@
 		return
 	}
 	r := &Record{ID: id, Team: team, Digest: digest, done: make(chan struct{}), response: response, keepUntil: now + keep}
-	// Otherwise the late request would be refused as reusing the identifier: a second
-	// ending beside the cancellation that its caller was told.
+	// An early cancellation has no request digest. Without this mark, the late request
+	// would be refused as a reuse of the identifier, which contradicts the cancellation
+	// that the caller was told.
 	r.canceledEarly = digest == Digest{}
 	close(r.done)
 	s.records[id] = r
@@ -234,7 +246,7 @@
 	t.count.Add(1)
 }
 
-// Sweep drops the records whose time is over and returns how many.
+// Sweep drops the records whose keep time is over and returns their number.
 func (t *Table) Sweep(now time.Duration) int {
 	dropped := 0
 	for i := range t.shards {
@@ -259,7 +271,8 @@
 	return dropped
 }
 
-// EachEnded calls fn for each ended record with the time it still has to be kept.
+// EachEnded calls fn for each ended record, with the time for which it must still be kept.
+// fn runs under the lock of the record's shard.
 func (t *Table) EachEnded(now time.Duration, fn func(r *Record, keep time.Duration)) {
 	for i := range t.shards {
 		s := &t.shards[i]
@@ -276,11 +289,11 @@
 // Running returns the number of records that have not ended.
 func (t *Table) Running() int { return int(t.running.Load()) }
 
-// MaxBytes returns the bound of kept answers.
+// MaxBytes returns the maximum total size of kept answers.
 func (t *Table) MaxBytes() int64 { return t.config.MaxBytes }
 
 // Len returns the number of records.
 func (t *Table) Len() int { return int(t.count.Load()) }
 
-// Bytes returns the bytes of kept answers.
+// Bytes returns the total size of kept answers.
 func (t *Table) Bytes() int64 { return t.bytes.Load() }
