--- a/sched/admit.go
+++ b/sched/admit.go
@@ -7,37 +7,38 @@
 )
 
 const (
-	// noWorkersRetry is the advice while no worker is available.
+	// noWorkersRetryAfter is the Retry-After of a refusal while no worker is available.
 	noWorkersRetryAfter = time.Second
-	// minRetryAfter and maxRetryAfter bound the advice worked out from the backlog.
+	// minRetryAfter and maxRetryAfter bound the Retry-After computed from the backlog.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
-	// capacityAge is how long a count of the slots is used.
+	// capacityMaxAge is how long a capacity count is reused before a recount.
 	capacityMaxAge = 10 * time.Millisecond
 )
 
-// admit refuses a job that can't run in time, at once and whole.
+// admit refuses a job that cannot complete before its deadline. It refuses the whole
+// job at submission; no task of a refused job starts.
 func (s *Scheduler) admit(now time.Duration, j *Job, k *kind) *verdict.Failure {
 	fits, usable := s.fits(j)
 	switch {
 	case !fits && len(s.workerList) > 0:
-		return verdict.New(verdict.NotRun, verdict.CannotRun, "no worker fits what kind %q needs and where it may run", j.Kind)
+		return verdict.New(verdict.NotRun, verdict.CannotRun, "no worker has %d CPUs, %d MB of memory and %d accelerators in the failure domains where kind %q may run", j.Needs.CPUs, j.Needs.MemoryMB, j.Needs.Accelerators, j.Kind)
 	case !usable:
 		return verdict.New(verdict.NotRun, verdict.NoWorkers, "no worker is available now").After(noWorkersRetryAfter)
 	case now >= j.Deadline:
-		return verdict.New(verdict.NotRun, verdict.DeadlineExceeded, "the deadline has passed")
+		return verdict.New(verdict.NotRun, verdict.DeadlineExceeded, "the deadline passed %s before the job was submitted", (now - j.Deadline).Round(time.Millisecond))
 	case k.times.learned() && k.times.mean > j.Deadline-now:
-		return verdict.New(verdict.NotRun, verdict.DeadlineTooShort, "tasks of kind %q take %s on average; allow more time", j.Kind, k.times.mean.Round(time.Millisecond))
+		return verdict.New(verdict.NotRun, verdict.DeadlineTooShort, "tasks of kind %q take %s on average, but the deadline is in %s; allow more time", j.Kind, k.times.mean.Round(time.Millisecond), (j.Deadline - now).Round(time.Millisecond))
 	}
 	if late := s.lateBy(now, j, k); late > 0 {
 		after := min(max(late, minRetryAfter), maxRetryAfter)
-		return verdict.New(verdict.NotRun, verdict.Overloaded, "the jobs ahead leave no time for this one before its deadline").After(after)
+		return verdict.New(verdict.NotRun, verdict.Overloaded, "the jobs ahead take %s too long for this job's deadline", late.Round(time.Millisecond)).After(after)
 	}
 	return nil
 }
 
-// fits tells whether any worker can ever run the job, and whether one may now: by a
-// share of this entry or by a loan.
+// fits reports whether any listed worker can ever run the job, and whether one is
+// usable now, either through this entry's share or through a loan.
 func (s *Scheduler) fits(j *Job) (fits, usable bool) {
 	for _, w := range s.workerList {
 		if !w.own.suits(j.Needs, j.Domains) {
@@ -51,7 +52,8 @@
 	return fits, false
 }
 
-// reachable tells whether slots of a worker outside the shares may be used.
+// borrowable reports whether the entry may use slots of a worker on which it has no
+// share.
 func (s *Scheduler) borrowable(w *worker) bool {
 	if s.baseline() || len(w.borrowed) > 0 {
 		return true
@@ -59,7 +61,8 @@
 	return s.config.Policy == Shares && s.hasPeer(w.Domain)
 }
 
-// lateBy returns by how much the backlog is too long for the job; 0 when it is not.
+// lateBy returns by how much the expected wait exceeds the time that the job can wait.
+// It returns 0 when the job can be admitted.
 func (s *Scheduler) lateBy(now time.Duration, j *Job, k *kind) time.Duration {
 	remaining := max(j.Deadline-now-k.times.longestOf(j.Tasks), 0)
 	c := s.capacity(now, j)
@@ -80,12 +83,14 @@
 	return late
 }
 
+// slotSeconds returns the expected slot time of a number of tasks of a kind, in seconds.
 func slotSeconds(k *kind, tasks int) float64 { return float64(tasks) * k.times.mean.Seconds() }
 
 func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// ahead returns the slot time in seconds that goes before a job: all of higher
-// urgency, and of its own what its team has to wait for by its weight.
+// workAhead returns the slot time, in seconds, that is scheduled before the job: all
+// waiting work of higher urgency, and the work of the same urgency that the weighted
+// sharing between teams puts before the job.
 func (s *Scheduler) workAhead(j *Job, jobWork float64) float64 {
 	higher := 0.0
 	for i := int(j.Urgency) + 1; i < levels; i++ {
@@ -105,7 +110,8 @@
 	return higher + min(same, share*weights/weight)
 }
 
-// allAhead returns the slot time of everything that waits.
+// waitingWork returns the slot time of all waiting tasks that compete with the job, in
+// seconds.
 func (s *Scheduler) waitingWork(j *Job) float64 {
 	sum := 0.0
 	for i := range s.levels {
@@ -114,7 +120,8 @@
 	return sum
 }
 
-// work adds up the waiting slot time that competes with a job.
+// competingWork returns the slot time, in seconds, of the level's waiting tasks that may
+// run in one of the job's failure domains.
 func (l *level) competingWork(j *Job) float64 {
 	sum := 0.0
 	for _, t := range l.active {
@@ -123,6 +130,7 @@
 	return sum
 }
 
+// competingWork does the same for one team.
 func (t *team) competingWork(j *Job) float64 {
 	sum := 0.0
 	for _, q := range t.queues {
@@ -133,17 +141,17 @@
 	return sum
 }
 
-// capacity is the number of slots that work on a backlog: now, and later when loans to
-// peers have come back. An entry whose tasks wait extends no loan, so that is after a
-// term.
+// capacity is the number of slots that serve a backlog, now and after the slots lent to
+// peers have returned. An entry with waiting tasks extends no loan, so all lent slots
+// return within one loan term.
 type capacity struct {
 	now   int
 	later int
-	// change is the time until then.
+	// laterIn is the time until the later number applies.
 	laterIn time.Duration
 }
 
-// drain returns how long the slots take for work of so many seconds.
+// drainTime returns how long the slots need for an amount of work, given in slot seconds.
 func (c capacity) drainTime(work float64) time.Duration {
 	d := duration(work / float64(max(c.now, 1)))
 	if d <= c.laterIn || c.later <= c.now {
@@ -153,17 +161,17 @@
 	return c.laterIn + duration(left/float64(c.later))
 }
 
-// capacities counts the slots in use or free, by failure domain.
+// capacities is a cached count of the slots that are in use or free, by failure domain.
 type capacities struct {
 	countedAt time.Duration
 	stale     bool
-	// own counts the slots of all domains.
+	// total is the sum of the current slots of all domains.
 	total    int
 	byDomain map[string]capacity
 }
 
-// capacity returns the number of slots that work on the backlog of jobs like this:
-// own and borrowed ones, and what peers have free.
+// capacity returns the number of slots that serve the backlog of jobs like this one:
+// own slots, borrowed slots and the free slots reported by peers.
 func (s *Scheduler) capacity(now time.Duration, j *Job) capacity {
 	c := &s.capacities
 	if c.stale || c.byDomain == nil || now-c.countedAt > capacityMaxAge {
@@ -188,6 +196,7 @@
 	c.later += later
 }
 
+// countCapacity recounts the cached slots.
 func (s *Scheduler) countCapacity(now time.Duration) {
 	c := &s.capacities
 	c.countedAt, c.stale, c.total = now, false, 0
@@ -217,7 +226,8 @@
 	}
 }
 
-// divide is the baselines' guess of this entry's part.
+// divideAmong estimates this entry's part of all slots as an equal part. Only the
+// baseline policies use it: under them every entry uses all workers.
 func (c *capacities) divideAmong(entries int) {
 	c.total /= entries
 	for d, inDomain := range c.byDomain {
--- a/sched/admit_test.go
+++ b/sched/admit_test.go
@@ -10,9 +10,9 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// Two slots and tasks of 100 ms make 20 tasks a second. A job that would wait for
-// longer than half of its time is refused at once, whole, and when it comes back
-// after the time it was told it is admitted.
+// Guards against admitting a job that would wait for more than half of its time, and
+// against a Retry-After after which the job is refused again. Two slots and tasks of
+// 100 ms make 20 tasks per second.
 func TestOverloadRetryAfterAdmitsLaterJob(t *testing.T) {
 	s := newScenario(t, sched.DefaultConfig())
 	s.workers(0, 2, 1)
@@ -30,8 +30,8 @@
 	assert.Assert(t, refusal.RetryAfter > time.Second && refusal.RetryAfter < 3*time.Second, refusal.RetryAfter)
 }
 
-// The load is 120% of the slots for a minute. Whatever is admitted is complete before
-// its deadline, and the slots stay in use.
+// Guards against admitting jobs that then miss their deadlines, and against refusing so
+// many that slots stay idle. The load is 120% of the slots for a minute.
 func TestAdmittedJobsMeetTheirDeadlines(t *testing.T) {
 	s := newScenario(t, sched.DefaultConfig())
 	s.workers(0, 10, 2)
@@ -66,8 +66,8 @@
 	assert.Assert(t, refused > 20 && admitted > 180, "%d admitted, %d refused", admitted, refused)
 }
 
-// The declared time is ten times too long. It is a hint only: the first jobs are not
-// refused for it, and once runs were observed the backlog is worked out from those.
+// Guards against refusing jobs because of a declared run time that is far too long: the
+// declaration is only a hint, and observed run times replace it.
 func TestObservedRunTimesReplaceDeclaredOnes(t *testing.T) {
 	s := newScenario(t, sched.DefaultConfig())
 	s.workers(0, 2, 1)
@@ -84,8 +84,8 @@
 	s.refused(now, sched.Job{Key: 51, Deadline: now + 50*ms}, verdict.DeadlineTooShort)
 }
 
-// A job that needs more than any worker has can never run; a job for a failure domain
-// of another entry's workers can, by a loan.
+// Guards against admitting a job that no worker can ever run, and against refusing a job
+// for another failure domain although a peer there can lend slots.
 func TestJobForOtherDomainNeedsPeer(t *testing.T) {
 	s := newScenario(t, sched.DefaultConfig())
 	s.SetWorkers(0, []sched.Worker{
@@ -99,9 +99,9 @@
 	assert.Equal(t, len(s.takeStarts()), 0)
 }
 
-// One task in 25 takes 3 s instead of 100 ms. A job of many tasks will have such a
-// task, so its slots must come 3 s before its deadline; behind the same backlog a job
-// of one task most likely has none and is admitted.
+// Guards against admitting a job of many tasks that needs time for its longest task. One
+// task in 25 takes 3 s instead of 100 ms, so a job of 10 tasks is refused, while a job of
+// one task is admitted behind the same backlog.
 func TestLargeJobAdmissionUsesLongestTask(t *testing.T) {
 	s := newScenario(t, sched.DefaultConfig())
 	s.workers(0, 2, 1)
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/lavendercleat/lavendercleat/sched"
 )
 
-// BenchmarkTask measures one task's part of Submit, its start and HandleOutcome with jobs of
-// 10 tasks of several teams waiting.
+// BenchmarkTask measures the cost of one task, from its part of Submit to HandleOutcome,
+// while jobs of 10 tasks from several teams wait.
 func BenchmarkTask(b *testing.B) {
 	for _, workers := range []int{50, 200, 950} {
 		for _, jobs := range []int{0, 50, 500} {
--- a/sched/borrow.go
+++ b/sched/borrow.go
@@ -7,7 +7,7 @@
 	"github.com/lavendercleat/lavendercleat/slot"
 )
 
-// Peer is another entry, one process of it.
+// Peer identifies one process of another entry.
 type Peer struct {
 	// Address is the IP:port of its peer interface.
 	Address     string
@@ -15,46 +15,49 @@
 	Domain      string
 }
 
-// peer is a peer with what it has to lend.
+// peer is a peer with the slots that it can lend and the loans taken from it.
 type peer struct {
 	Peer
-	// free is how many slots it could lend by its latest word, less what was asked
-	// for since. A peer without any is not asked.
+	// lendable is the number of slots that the peer last reported as lendable, minus
+	// those requested since. A peer without lendable slots is not asked.
 	lendable int
-	// wants is set while the peer lacks slots that this entry did not have.
+	// needsSlots is set while the peer lacks slots that this entry could not lend.
 	needsSlots bool
-	// asking is set while a request is under way: one at a time per peer.
+	// requestPending is set while a request to the peer is in flight. At most one
+	// request per peer is in flight.
 	requestPending bool
-	// loans are those borrowed from the peer.
+	// loans are the loans taken from the peer.
 	loans []*loan
 }
 
-// loan is borrowed slots as the borrower sees them.
+// loan is one loan from the borrower's point of view.
 type loan struct {
 	id    slot.LoanID
 	until time.Duration
 	ended bool
-	// recalled is set once the lender wants the slots back.
+	// recalled is set once the lender has asked for the slots back.
 	recalled bool
-	// term is that of the first request.
+	// term is the term of the first request.
 	term time.Duration
-	// extending is set while an extension is asked for, and stays set when the lender
-	// declined, so that it is not asked again.
+	// extensionRequested is set while an extension request is in flight. It stays set if
+	// the lender declines, so that the entry does not ask again.
 	extensionRequested bool
 	grants             []*grant
 }
 
 const (
-	// tailsPerTerm is how many of the kind's long tasks a term should hold.
+	// tailsPerTerm is the number of tail run times of a kind that fit into a loan term.
 	tailsPerTerm = 4
-	// extendBelow is the part of a term below which a loan in use is extended, and
-	// extendWith that below which others of the same peer go along.
+	// extendBelow is the fraction of its term below which a loan in use is due for
+	// extension. A request to the same peer also extends the loans in use that are
+	// below extendAlsoBelow.
 	extendBelow     = 0.5
 	extendAlsoBelow = 0.75
 )
 
-// SetPeers replaces the list of live peers. Nothing starts any more on slots borrowed
-// from a peer that is gone or was replaced: the survivors divide them anew.
+// SetPeers replaces the list of live peers. The scheduler starts no more tasks on slots
+// borrowed from a peer that was removed or replaced by a new incarnation, because the
+// remaining entries divide that peer's slots among themselves.
 func (s *Scheduler) SetPeers(now time.Duration, list []Peer) {
 	old := s.peers
 	s.peers = nil
@@ -77,7 +80,8 @@
 	s.schedule(now)
 }
 
-// SetPeerFree takes in how many slots a peer says it could lend, and how many it lacks.
+// SetPeerFree stores how many slots a peer reports that it could lend, and how many it
+// lacks.
 func (s *Scheduler) SetPeerFree(now time.Duration, p Peer, free, wanted int) {
 	o := s.peer(p)
 	if o == nil {
@@ -85,7 +89,7 @@
 	}
 	o.needsSlots = wanted > 0
 	if o.requestPending {
-		return // the answer is newer
+		return // the pending answer will be newer than this report
 	}
 	o.lendable = free
 	if free > 0 && s.waiting > 0 {
@@ -93,6 +97,7 @@
 	}
 }
 
+// peer returns the state of a live peer, or nil for an unknown one.
 func (s *Scheduler) peer(p Peer) *peer {
 	i := slices.IndexFunc(s.peers, func(o *peer) bool { return o.Peer == p })
 	if i < 0 {
@@ -105,9 +110,9 @@
 	return slices.ContainsFunc(s.peers, func(p *peer) bool { return p.Domain == domain })
 }
 
-// borrow asks peers for the slots that waiting tasks lack: those of the own failure
-// domain first, then those with the most free slots. Only peers that said they have
-// some are asked.
+// borrow requests the slots that waiting tasks lack. It asks peers of this entry's
+// failure domain first, then the peers with the most lendable slots. It asks only peers
+// that reported lendable slots.
 func (s *Scheduler) borrow(now time.Duration) {
 	if s.config.Policy != Shares || !s.anyPeerLendable() {
 		return
@@ -130,7 +135,8 @@
 	return slices.ContainsFunc(s.peers, func(p *peer) bool { return p.lendable > 0 && !p.requestPending })
 }
 
-// lender returns the peer to ask first, nil when none has anything.
+// bestLender returns the peer to ask first for slots for a kind, or nil when no peer has
+// any.
 func (s *Scheduler) bestLender(k *kind) *peer {
 	var best *peer
 	for _, p := range s.peers {
@@ -144,6 +150,7 @@
 	return best
 }
 
+// preferred reports whether the entry asks peer a before peer b.
 func (s *Scheduler) preferred(a, b *peer) bool {
 	if near := a.Domain == s.config.Domain; near != (b.Domain == s.config.Domain) {
 		return near
@@ -151,12 +158,13 @@
 	return a.lendable > b.lendable
 }
 
-// term returns the term of a loan for a kind.
+// loanTerm returns the term to request for a loan that serves a kind.
 func (s *Scheduler) loanTerm(k *kind) time.Duration {
 	return min(max(s.config.LoanTerm, tailsPerTerm*k.times.tail), s.config.MaxLoanTerm)
 }
 
-// ask requests slots, and with the same message the extension of loans that need it.
+// requestSlots asks a peer for n slots. The same message asks for the extension of
+// that peer's loans that need it.
 func (s *Scheduler) requestSlots(now time.Duration, p *peer, k *kind, n int) {
 	b := Borrow{Peer: p.Peer, Slots: n, Term: s.loanTerm(k), Sent: now, Needs: k.needs, kind: k}
 	b.Extend = p.extensions(now)
@@ -166,7 +174,8 @@
 	s.ready.Borrows = append(s.ready.Borrows, b)
 }
 
-// extensions returns the loans of a peer that are in use and should last longer.
+// extensions returns the peer's loans that are in use and due for extension, and marks
+// them as requested.
 func (p *peer) extensions(now time.Duration) []slot.LoanID {
 	var ids []slot.LoanID
 	for _, l := range p.loans {
@@ -192,26 +201,27 @@
 	return n
 }
 
-// LendReply is a lender's answer to Borrow.
+// LendReply is a lender's answer to a Borrow.
 type LendReply struct {
 	slot.Loan
-	// Extended are the loans that now last for the requested term, Recalled those of
-	// them on which nothing new may start.
+	// Extended are the loans that the lender extended by the requested term. Recalled
+	// are those of them on which the borrower must start no further task.
 	Extended []slot.LoanID
 	Recalled []slot.LoanID
-	// Free is how many slots the lender could still lend.
+	// Free is the number of slots that the lender could still lend.
 	Free int
 }
 
-// HandleLendReply takes in the answer to a Borrow, nil when there was none. The term counts
-// from the decision to ask, so a late answer only shortens it.
+// HandleLendReply processes a peer's answer to a Borrow; answer is nil when the peer did
+// not answer. The loan term counts from the time of the decision to ask, so a late
+// answer leaves less of the term.
 func (s *Scheduler) HandleLendReply(now time.Duration, b Borrow, reply *LendReply) {
 	if b.kind != nil {
 		b.kind.requested -= b.Slots
 	}
 	p := s.peer(b.Peer)
 	if p == nil {
-		return // the peer is gone, and what it lent is divided anew
+		return // the peer was removed, and the remaining entries divide the slots that it lent
 	}
 	p.requestPending = false
 	s.applyExtensions(p, b, reply)
@@ -226,7 +236,7 @@
 	s.schedule(now)
 }
 
-// extended takes in which extensions were granted.
+// applyExtensions prolongs the loans that the lender extended.
 func (s *Scheduler) applyExtensions(p *peer, b Borrow, reply *LendReply) {
 	for _, l := range p.loans {
 		if !slices.Contains(b.Extend, l.id) {
@@ -242,7 +252,8 @@
 	}
 }
 
-// recall stops starts on a loan's slots; each goes back once its task has ended.
+// recallLoan stops starting tasks on a loan's slots. Each slot is returned once its task
+// has ended.
 func (s *Scheduler) recallLoan(l *loan) {
 	l.recalled = true
 	for _, g := range l.grants {
@@ -250,13 +261,13 @@
 	}
 }
 
-// addLoan makes borrowed slots usable.
+// addLoan makes the slots of a new loan usable.
 func (s *Scheduler) addLoan(now time.Duration, p *peer, from slot.Loan, b Borrow) {
 	l := &loan{id: from.ID, until: b.Sent + b.Term, term: b.Term}
 	for _, ws := range from.Slots {
 		w := s.workers[ws.Worker]
 		if w == nil || ws.Slots <= 0 {
-			continue // unknown here: the slot stays idle until the end of the term
+			continue // unknown worker: the slot stays idle until the loan's term ends
 		}
 		g := &grant{worker: w, slots: ws.Slots, loan: l, idleSince: now}
 		l.grants = append(l.grants, g)
@@ -266,7 +277,7 @@
 	p.loans = append(p.loans, l)
 }
 
-// endLoan stops starts on a loan's slots.
+// endLoan stops starting tasks on a loan's slots.
 func (s *Scheduler) endLoan(l *loan) {
 	l.ended = true
 	for _, g := range l.grants {
@@ -275,8 +286,8 @@
 	}
 }
 
-// tendLoans ends loans whose term is over, extends those in use and gives back slots
-// that stayed idle.
+// maintainLoans ends loans whose term is over, returns slots that stayed idle and asks
+// for the extension of loans in use.
 func (s *Scheduler) maintainLoans(now time.Duration) {
 	for _, p := range s.peers {
 		if len(p.loans) == 0 {
@@ -293,7 +304,7 @@
 	}
 }
 
-// extend asks a peer to let loans that are in use last longer.
+// extend asks a peer to extend loans that are in use and close to their end.
 func (s *Scheduler) extend(now time.Duration, p *peer) {
 	due := slices.ContainsFunc(p.loans, func(l *loan) bool {
 		return !l.extensionRequested && l.running() > 0 && l.remaining(now) < fraction(l.term, extendBelow)
@@ -306,8 +317,8 @@
 	s.ready.Borrows = append(s.ready.Borrows, b)
 }
 
-// giveBack returns a peer's idle slots, all in one message once one of them has been
-// idle for long enough.
+// returnAfterIdle returns all idle slots of a peer in one message, once one of them has
+// been idle for long enough.
 func (s *Scheduler) returnAfterIdle(now time.Duration, p *peer) {
 	due := slices.ContainsFunc(p.loans, func(l *loan) bool {
 		return !l.ended && l.idleTooLong(now, s.config.ReturnIdleAfter)
@@ -317,14 +328,15 @@
 	}
 }
 
-// idleTooLong tells whether a slot of the loan has been idle for long enough.
+// idleTooLong reports whether the loan has a slot to return: one that has been idle for
+// the given time, or any idle slot of a recalled loan.
 func (l *loan) idleTooLong(now, after time.Duration) bool {
 	return slices.ContainsFunc(l.grants, func(g *grant) bool {
 		return g.slots > g.running && (l.recalled || now-g.idleSince >= after)
 	})
 }
 
-// returnIdle returns all idle slots of a peer.
+// returnIdle returns all idle slots borrowed from a peer.
 func (s *Scheduler) returnIdle(p *peer) {
 	var parts []slot.Loan
 	for _, l := range p.loans {
@@ -338,8 +350,8 @@
 	s.ready.Returns = append(s.ready.Returns, ReturnSlots{Peer: p.Peer, Loans: parts})
 }
 
-// takeIdle takes the idle slots out of a loan and returns, for the workers of those,
-// how many slots are kept.
+// removeIdle removes the idle slots from a loan. For each worker with idle slots it
+// returns how many slots the loan keeps there.
 func (s *Scheduler) removeIdle(l *loan) []slot.WorkerSlots {
 	var idle []slot.WorkerSlots
 	kept := 0
--- a/sched/config.go
+++ b/sched/config.go
@@ -6,8 +6,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Policy says how workers are chosen. All but Shares are baselines for measurements;
-// the daemon's settings don't offer them.
+// Policy selects how the scheduler chooses workers. All policies but Shares are baselines
+// for measurements; the daemon's settings do not offer them.
 type Policy uint8
 
 // Policies.
@@ -23,7 +23,7 @@
 	TwoChoices
 )
 
-// policies names them.
+// policyNames maps the name of each policy to the policy.
 var policyNames = map[string]Policy{
 	"default":     Shares,
 	"static":      StaticShares,
@@ -31,7 +31,7 @@
 	"two-choices": TwoChoices,
 }
 
-// ParsePolicy returns the policy of a name.
+// ParsePolicy returns the policy with the given name.
 func ParsePolicy(name string) (Policy, error) {
 	p, ok := policyNames[name]
 	if !ok {
@@ -45,61 +45,65 @@
 	Policy Policy
 	// Seed makes random choices repeatable.
 	Seed uint64
-	// Domain is this entry's failure domain: its peers are asked for slots first.
+	// Domain is this entry's failure domain. The entry borrows from peers of this domain
+	// first.
 	Domain string
-	// MaxAttempts bounds the starts of one task, refused ones included.
+	// MaxAttempts bounds the starts of one task, including starts that the worker refused.
 	MaxAttempts int
 	// DefaultRunTime is the expected run time of a task whose kind declares none.
 	DefaultRunTime time.Duration
-	// Linger is how long the slot of an aborted task counts as busy after the entry
-	// stopped waiting: the worker notices a closed connection a little later, and
-	// would refuse a task that came before.
+	// AbortReleaseDelay is how long the slot of an aborted task still counts as busy
+	// after the entry stopped waiting for it. The worker notices the closed connection a
+	// little later and would refuse a task that arrived before that.
 	AbortReleaseDelay time.Duration
 
-	// LoanTerm is the usual term of a loan. A kind with long tasks gets a longer one,
-	// up to MaxLoanTerm.
+	// LoanTerm is the usual term of a loan. A kind with long tasks gets a longer term, up
+	// to MaxLoanTerm.
 	LoanTerm    time.Duration
 	MaxLoanTerm time.Duration
-	// ReturnAfter is how long a borrowed slot stays idle before it is given back.
+	// ReturnIdleAfter is how long a borrowed slot stays idle before it is returned.
 	ReturnIdleAfter time.Duration
-	// LendReserve is the part of its own slots that an entry keeps for itself.
+	// LendReserveFraction is the fraction of its own slots that an entry never lends.
 	LendReserveFraction float64
 
-	// WaitShare is the part of the time to the deadline that a job of each urgency may
-	// be expected to wait; a job that would wait longer is refused.
+	// MaxWaitFraction is, by urgency, the fraction of the time to its deadline that a job
+	// may be expected to wait. The scheduler refuses a job that would wait longer.
 	MaxWaitFraction [High + 1]float64
-	// BacklogShare is the same for all waiting jobs together.
+	// MaxBacklogFraction is the same limit for the wait behind all waiting jobs together.
 	MaxBacklogFraction float64
-	// PromoteShare is the part of the time to the deadline after which a waiting job
-	// goes before all others, earliest deadline first.
+	// PromoteAfterFraction is the fraction of the time to its deadline after which a
+	// waiting job is promoted: promoted jobs start before all others, earliest deadline
+	// first.
 	PromoteAfterFraction float64
-	// WorkWeight orders the jobs of a team: a job is due this many times its remaining
-	// slot time after its submission. 0 is first come, first served.
+	// RemainingWorkWeight orders the jobs of a team. A job is due at its submission time
+	// plus RemainingWorkWeight times its remaining slot time. 0 means first come, first
+	// served.
 	RemainingWorkWeight float64
 
-	// RefusalPause is the first pause of a worker that refused a task, DialPause that
-	// of one that could not be connected to. Each further one in a row doubles it, up
-	// to MaxPause.
+	// RefusalBackoff is the first backoff of a worker that refused a task, DialBackoff
+	// that of a worker to which no connection could be made. Each further failure in a
+	// row doubles the backoff, up to MaxBackoff.
 	RefusalBackoff time.Duration
 	DialBackoff    time.Duration
 	MaxBackoff     time.Duration
-	// EjectAfter is the number of failures in a row after which a worker is ejected,
-	// for EjectFor the first time and twice as long each further time, up to MaxEject.
+	// EjectAfterFailures is the number of failures in a row after which a worker is
+	// ejected. The first ejection lasts EjectDuration; each further one lasts twice as
+	// long, up to MaxEjectDuration.
 	EjectAfterFailures int
 	EjectDuration      time.Duration
 	MaxEjectDuration   time.Duration
-	// SlowFactor is the run time, relative to other workers, from which a worker
+	// StragglerSlowdown is the run time relative to other workers from which a worker
 	// counts as a straggler.
 	StragglerSlowdown float64
-	// RetryRatio bounds the retries to a part of the first starts.
+	// RetryRatio bounds the retries to a fraction of the first starts.
 	RetryRatio float64
-	// RetryBurst is the number of retries that may come at once.
+	// RetryBurst is the number of retries that may happen at once.
 	RetryBurst float64
-	// RetryDelay is how long a retry beyond the budget is put off.
+	// RetryDelay is the delay of a retry that exceeds the retry budget.
 	RetryDelay time.Duration
 }
 
-// DefaultConfig returns the settings for tasks of 50 ms to a second.
+// DefaultConfig returns the settings for tasks that run for 50 ms to 1 s.
 func DefaultConfig() Config {
 	return Config{
 		MaxAttempts:          8,
--- a/sched/doc.go
+++ b/sched/doc.go
@@ -1,10 +1,11 @@
-// Package sched decides which task starts on which worker, and when a job is
-// refused, retried, failed or complete.
+// Package sched schedules the tasks of submitted jobs on workers. It decides which task
+// starts on which worker, and when a job is refused, retried, failed or complete.
 //
-// A Scheduler is one entry's state machine. It does no I/O, starts no goroutine and
-// reads no clock: events go in with the time (a duration on the owner's monotonic
-// clock), and Ready returns the commands to carry out. Payloads and results stay
-// with the embedder; the scheduler knows a job by its key and a task by its index.
+// A Scheduler is the state machine of one entry. It does no I/O, starts no goroutine and
+// reads no clock. The embedder passes in events together with the time, a duration on
+// the entry's monotonic clock, and Ready returns the commands for the embedder to
+// execute. The embedder keeps payloads and results; the scheduler identifies a job by
+// its key and a task by its index.
 //
 //	s := sched.New(sched.DefaultConfig())
 //	s.SetWorkers(now, workers)
@@ -14,10 +15,11 @@
 //		s.HandleOutcome(now, start, outcome)
 //	}
 //
-// Entries lend each other slots. Tell the scheduler its peers (SetPeers) and what they
-// have free (SetPeerFree), carry its Borrow and ReturnSlots commands to them, answer theirs
-// with Lend and HandleReturn, and hand each answer to HandleLendReply.
+// Entries lend slots to each other. The embedder passes in the live peers (SetPeers) and
+// the slots that they can lend (SetPeerFree). It sends the Borrow and ReturnSlots
+// commands to the peers and passes each answer to HandleLendReply. It answers the
+// requests of peers with Lend and HandleReturn.
 //
-// Call Ready after every event and Tick every few milliseconds. A Scheduler is not
-// safe for concurrent use.
+// The embedder calls Ready after every event, and Tick every few milliseconds. A
+// Scheduler is not safe for concurrent use.
 package sched
--- a/sched/example_test.go
+++ b/sched/example_test.go
@@ -9,8 +9,8 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// A job of two tasks on one worker with one slot: the second starts when the first has
-// ended. A job for which no time is left is refused with the time to come back.
+// A job of two tasks runs on one worker with one slot: the second task starts when the
+// first has ended. A job that cannot complete in time is refused with a Retry-After.
 func ExampleScheduler() {
 	s := sched.New(sched.DefaultConfig())
 	s.SetWorkers(0, []sched.Worker{{Address: "10.0.0.1:80", Slots: 1}})
@@ -35,7 +35,7 @@
 	// complete: true
 }
 
-// A lender's side and a borrower's side of one loan.
+// One loan from the point of view of the lender and of the borrower.
 func ExampleScheduler_Lend() {
 	lender, borrower := sched.New(sched.DefaultConfig()), sched.New(sched.DefaultConfig())
 	lender.SetWorkers(0, []sched.Worker{{Address: "10.0.0.1:80", Slots: 4}})
--- a/sched/grant.go
+++ b/sched/grant.go
@@ -2,43 +2,45 @@
 
 import "time"
 
-// grant is this entry's right to some slots of one worker: its share, or what it
-// borrowed in one loan.
+// grant is this entry's right to use some slots of one worker, either its share or the
+// slots of one loan.
 type grant struct {
 	worker *worker
 	slots  int
-	// lent counts the slots of a share that peers use.
+	// lent is the number of slots of the share that are lent to peers.
 	lent    int
 	running int
-	// loan is nil for a share.
+	// loan is nil for the entry's share.
 	loan *loan
-	// idleSince is when a borrowed slot was last seen to become idle.
+	// idleSince is the time at which a borrowed slot last became idle.
 	idleSince time.Duration
 
-	// class and level say where the index has the grant, at position pos; level 0 is
-	// not in the index.
+	// class and level locate the grant in the index, at position pos. A grant of level 0
+	// is not in the index.
 	class class
 	level int
 	pos   int
 }
 
-// class orders grants: lower classes are used first.
+// class orders grants: the scheduler uses lower classes first.
 type class uint8
 
 const (
-	// probeClass is for workers on probation: the first task after the pause shows
-	// whether they have recovered.
+	// probeClass is for workers that are being probed: the first task after a backoff or
+	// an ejection shows whether the worker has recovered.
 	probeClass class = iota
-	// ownClass are the slots of shares.
+	// ownClass is for the slots of the entry's shares.
 	ownClass
-	// borrowedClass come second, so that they become idle first and go back early.
+	// borrowedClass comes after ownClass, so that borrowed slots become idle first and
+	// are returned early.
 	borrowedClass
-	// slowClass are the slots of stragglers.
+	// slowClass is for the slots of stragglers.
 	slowClass
+	// classes is the number of classes.
 	classes
 )
 
-// free returns the slots on which a task may start.
+// free returns the number of slots on which a task may start.
 func (g *grant) free() int {
 	w := g.worker
 	if !w.usable() || w.backingOff || w.ejected || g.ended() {
@@ -46,7 +48,7 @@
 	}
 	n := g.slots - g.lent - g.running - w.withheld
 	if w.probing() {
-		// A worker that failed or refused everything proves itself with one task.
+		// A worker that failed or refused repeatedly gets one task at a time.
 		if g.loan != nil || w.running > 0 {
 			return 0
 		}
@@ -55,14 +57,16 @@
 	return max(n, 0)
 }
 
-// ended tells whether nothing may start on the grant any more.
+// ended reports whether no more tasks may start on the grant.
 func (g *grant) ended() bool { return g.loan != nil && (g.loan.ended || g.loan.recalled) }
 
-// lasts tells whether the grant is expected to outlast a task that starts now.
+// outlasts reports whether the grant is expected to last until a task that starts now
+// has ended.
 func (g *grant) outlasts(now, runTime time.Duration) bool {
 	return g.loan == nil || now+runTime <= g.loan.until
 }
 
+// currentClass returns the class that the state of the worker calls for.
 func (g *grant) currentClass() class {
 	switch {
 	case g.worker.probing():
@@ -75,18 +79,20 @@
 	return ownClass
 }
 
-// maxLevel is the number of free slots from which more make no difference.
+// maxLevel is the highest level of the index. Grants with more free slots than this are
+// treated alike.
 const maxLevel = 64
 
-// index finds the grant with the most free slots.
+// index finds the grant with the most free slots. It keeps one list of grants per number
+// of free slots (level).
 type index struct {
 	levels [maxLevel + 1][]*grant
-	// top is not below the highest level in use.
+	// top is at least the highest level that has grants.
 	top int
-	// free adds up the levels.
+	// free is the sum of the levels of all grants.
 	free int
-	// turn makes grants of a level take turns, so that a worker that fails fast and is
-	// free again at once gets no more tasks than the others.
+	// rotation makes the grants of a level take turns. Otherwise a worker that fails
+	// fast, and is free again at once, would get more tasks than the others.
 	rotation int
 }
 
@@ -118,7 +124,8 @@
 	g.level = 0
 }
 
-// best returns the grant with the most free slots that suits a task of the job.
+// best returns the grant with the most free slots that can run a task with the given
+// needs, failure domains and expected run time, or nil when there is none.
 func (x *index) best(now time.Duration, needs Resources, domains []string, runTime time.Duration) *grant {
 	for level := x.top; level > 0; level-- {
 		l := x.levels[level]
@@ -133,12 +140,13 @@
 	return nil
 }
 
-// suits tells whether the grant's worker can run a task.
+// suits reports whether the grant's worker can run a task with the given needs and
+// failure domains.
 func (g *grant) suits(needs Resources, domains []string) bool {
 	return allows(domains, g.worker.Domain) && needs.Fits(g.worker.Resources)
 }
 
-// place brings the index up to date for all grants of a worker.
+// reindex updates the index for all grants of a worker.
 func (s *Scheduler) reindex(w *worker) {
 	s.reindexGrant(&w.own)
 	for _, g := range w.borrowed {
--- a/sched/harness_test.go
+++ b/sched/harness_test.go
@@ -16,11 +16,11 @@
 	minute = time.Minute
 )
 
-// scenario drives one scheduler step by step.
+// scenario runs one scheduler step by step.
 type scenario struct {
 	*sched.Scheduler
 	t *testing.T
-	// starts, ended, borrows and givebacks are what the latest take returned.
+	// Ready holds the commands that the latest takeStarts took.
 	sched.Ready
 }
 
@@ -28,7 +28,7 @@
 	return &scenario{Scheduler: sched.New(c), t: t}
 }
 
-// workers sets a number of workers in domain a with a share of slots each.
+// workers sets count workers in domain a, each with a share of slots.
 func (s *scenario) workers(now time.Duration, count, slots int) {
 	var list []sched.Worker
 	for i := range count {
@@ -39,7 +39,7 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:80", i+1) }
 
-// submit submits a job that must be admitted.
+// submit submits a job and fails the test unless it is admitted.
 func (s *scenario) submit(now time.Duration, j sched.Job) {
 	s.t.Helper()
 	if f := s.Submit(now, withDefaults(now, j)); f != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// refused submits a job that must be refused with a reason.
+// refused submits a job and fails the test unless it is refused with the reason.
 func (s *scenario) refused(now time.Duration, j sched.Job, r verdict.Reason) *verdict.Failure {
 	s.t.Helper()
 	f := s.Submit(now, withDefaults(now, j))
@@ -57,7 +57,8 @@
 	return f
 }
 
-// withDefaults fills in a kind, one task, a deadline in a minute and 100 ms run time.
+// withDefaults sets a kind, one task, a deadline in a minute and 100 ms run time where
+// the job has none.
 func withDefaults(now time.Duration, j sched.Job) sched.Job {
 	if j.Kind == "" {
 		j.Kind = "quote"
@@ -72,13 +73,13 @@
 	return j
 }
 
-// take takes the commands and returns the starts.
+// takeStarts takes the commands of the scheduler and returns the starts.
 func (s *scenario) takeStarts() []sched.Start {
 	s.Ready = s.Scheduler.Ready()
 	return s.Starts
 }
 
-// finish ends starts well.
+// finish ends starts successfully.
 func (s *scenario) finish(now time.Duration, starts ...sched.Start) {
 	for _, st := range starts {
 		s.HandleOutcome(now, st, sched.Outcome{})
@@ -90,7 +91,7 @@
 	s.HandleOutcome(now, st, sched.Outcome{Failure: verdict.New(v, r, "test")})
 }
 
-// jobsOf returns the jobs of starts, in order.
+// jobsOf returns the jobs of the starts, in order.
 func jobsOf(starts []sched.Start) []sched.JobKey {
 	var keys []sched.JobKey
 	for _, st := range starts {
@@ -99,7 +100,7 @@
 	return keys
 }
 
-// drain runs everything that waits, one task at a time, and returns the order of jobs.
+// drain runs all waiting tasks, one at a time, and returns the order of their jobs.
 func (s *scenario) drain(now time.Duration, running []sched.Start) []sched.JobKey {
 	var order []sched.JobKey
 	for len(running) > 0 {
--- a/sched/health.go
+++ b/sched/health.go
@@ -7,65 +7,69 @@
 )
 
 const (
-	// probeRefusals is the number of refusals in a row after which a worker gets one
-	// task at a time.
+	// refusalsBeforeProbing is the number of refusals in a row after which a worker gets
+	// one task at a time.
 	refusalsBeforeProbing = 3
-	// provenBy is the number of good runs after which a worker on probation gets its
-	// full load again.
+	// recoveryRuns is the number of successful runs after which a worker on probation
+	// gets its full load again.
 	recoveryRuns = 3
-	// slowWeight is the weight of one run in a worker's speed.
+	// slowdownWeight is the weight of one run in a worker's slowdown.
 	slowdownWeight = 0.1
-	// slowRuns is the number of runs from which a worker's speed is relied on.
+	// minSlowdownRuns is the number of runs from which a worker's slowdown is used.
 	minSlowdownRuns = 10
-	// slowProbe is the first time between two tasks that show whether a straggler has
-	// recovered; it doubles up to maxSlowProbe.
+	// slowProbeInterval is the first interval between tasks that test whether a straggler
+	// has recovered. The interval doubles up to maxSlowProbeInterval.
 	slowProbeInterval    = 2 * time.Second
 	maxSlowProbeInterval = 30 * time.Second
-	// maxRatio bounds the effect of one run on a worker's speed.
+	// maxSlowdown bounds the effect of one run on a worker's slowdown.
 	maxSlowdown = 10
-	// failWeight is the weight of one run in a worker's failure rate, ejectRate the
-	// rate at which it is ejected even though some tasks end well.
+	// failRateWeight is the weight of one run in a worker's failure rate. A worker is
+	// ejected above ejectFailRate even though some of its tasks succeed.
 	failRateWeight = 0.1
 	ejectFailRate  = 0.5
-	// maxWithhold is the longest time for which a slot is left idle after a refusal.
+	// maxWithhold bounds the time for which a slot is withheld after a refusal.
 	maxWithhold = time.Second
-	// blameTail is how many times the tail of a kind's run times a task may take
-	// before a timeout is the worker's fault and not that of a short deadline.
+	// blameTailFactor times the tail run time of the kind is the run time below which a
+	// timeout is blamed on a short deadline and not on the worker.
 	blameTailFactor = 3
 )
 
-// health is what a worker's answers tell of it.
+// health is what the outcomes of a worker's tasks say about the worker.
 type health struct {
-	// refusals and failures count those in a row.
+	// refusals and failures count consecutive refusals and failures.
 	refusals int
 	failures int
-	// failRate is the moving rate of failures.
+	// failRate is the moving average of the failure rate.
 	failRate float64
-	// withheld counts slots that are left idle for a while after refusals of a worker
-	// that runs other tasks: someone else's task still holds the slot. fullRefusals
-	// counts such refusals since the worker last ran as many tasks as it should.
+	// withheld is the number of slots that are left idle for a while, because the worker
+	// refused a task although it runs others: a task that this entry does not know of
+	// occupies the slot. busyRefusals counts such refusals since a task last succeeded
+	// that had taken the last free slot.
 	withheld     int
 	busyRefusals int
-	// paused is set for a pause after a refusal, ejected after too many failures.
+	// backingOff is set for the backoff after a refusal, ejected after too many failures.
 	backingOff bool
 	ejected    bool
-	// ejections counts them; it falls when the worker proves itself.
+	// ejections counts the ejections. It decreases when the worker completes a probation.
 	ejections int
-	// probation counts the good runs that are still wanted after an ejection.
+	// probation is the number of successful runs that the worker still needs after an
+	// ejection.
 	probation int
-	// speed is the moving mean of run times relative to those of the kind.
+	// slowdown is the moving average of run times relative to the mean of the kind
+	// (1 = as fast as the mean), runs the number of runs in it. slow marks a straggler.
 	slowdown float64
 	runs     int
 	slow     bool
-	// probeAt is when a straggler gets a task to show whether it has recovered.
+	// probeAt is when a straggler gets the next task that tests whether it has recovered.
 	probeAt       time.Duration
 	probeInterval time.Duration
 }
 
-// probing tells whether the worker gets one task at a time.
+// probing reports whether the worker gets one task at a time.
 func (h *health) probing() bool { return h.probation > 0 || h.refusals >= refusalsBeforeProbing }
 
-// ranWell takes in a good run; full tells whether it had the worker's last free slot.
+// recordSuccess records a successful run. tookLastSlot reports whether the task had taken
+// the worker's last free slot.
 func (s *Scheduler) recordSuccess(now time.Duration, w *worker, k *kind, took time.Duration, tookLastSlot bool) {
 	k.recordResult(w.Address, false)
 	w.refusals, w.failures = 0, 0
@@ -85,7 +89,8 @@
 	k.times.add(took)
 }
 
-// measure takes in how long a run took relative to the kind's mean.
+// recordSlowdown records the run time of a task relative to the mean of its kind, and
+// marks or unmarks the worker as a straggler.
 func (s *Scheduler) recordSlowdown(now time.Duration, w *worker, slowdown float64) {
 	w.runs++
 	weight := max(1/float64(w.runs), slowdownWeight)
@@ -98,8 +103,8 @@
 	w.slow = slow
 }
 
-// failed takes in a failure that may have run, and ejects the worker when it fails
-// nearly everything.
+// recordFailure records the failure of a task that may have run. It ejects a worker that
+// fails nearly everything.
 func (s *Scheduler) recordFailure(now time.Duration, w *worker, k *kind, took time.Duration, reason verdict.Reason) {
 	if reason == verdict.ReplyTooLarge || reason == verdict.Internal {
 		return
@@ -119,13 +124,14 @@
 	}
 }
 
-// smallDomain is the number of workers below which a failure domain is too small to be
-// judged by itself.
+// minDomainSize is the number of workers below which a failure domain is too small to
+// bound ejections by its own workers.
 const minDomainSize = 3
 
-// manyEjected tells whether one more ejection would leave less than half of a failure
-// domain's workers, or of all workers when the domain is small: its only worker would
-// never be ejected, and one that fails at once draws the tasks of the others.
+// tooManyEjected reports whether one more ejection would leave less than half of the
+// failure domain's workers. For a small domain it counts all workers instead: otherwise
+// the only worker of a domain could never be ejected, and a worker that fails at once
+// would attract the tasks of the others.
 func (s *Scheduler) tooManyEjected(domain string) bool {
 	all, ejected := s.countEjected(func(w *worker) bool { return w.Domain == domain })
 	if all < minDomainSize {
@@ -134,6 +140,7 @@
 	return 2*(ejected+1) > all
 }
 
+// countEjected counts the workers that match, and the ejected ones among them.
 func (s *Scheduler) countEjected(match func(*worker) bool) (all, ejected int) {
 	for _, w := range s.workerList {
 		if !match(w) {
@@ -147,9 +154,9 @@
 	return all, ejected
 }
 
-// eject keeps a worker without tasks for a while, then on probation. Never more than
-// half of the workers (see manyEjected) are ejected: when most look bad, the cause lies elsewhere
-// and the rest could not carry the load.
+// eject gives a worker no tasks for a while and then puts it on probation. It never
+// ejects more than half of the workers (see tooManyEjected): when most workers fail, the
+// cause lies elsewhere, and the remaining workers could not carry the load.
 func (s *Scheduler) eject(now time.Duration, w *worker) {
 	if w.ejected || s.tooManyEjected(w.Domain) {
 		return
@@ -166,7 +173,8 @@
 	})
 }
 
-// refused takes in a refusal that did not run: the worker pauses, longer each time.
+// recordRefusal records a refusal that proves that the task did not run. The worker gets
+// no tasks for a backoff, which doubles with each refusal in a row.
 func (s *Scheduler) recordRefusal(now time.Duration, w *worker, reason verdict.Reason) {
 	backoff := s.config.RefusalBackoff
 	switch reason {
@@ -177,7 +185,7 @@
 		return
 	}
 	if w.backingOff {
-		return // of tasks that were already on their way
+		return // the task was sent before the backoff began
 	}
 	if w.running > 1 && reason == verdict.WorkerRefused {
 		s.withholdSlot(now, w)
@@ -192,7 +200,8 @@
 	})
 }
 
-// withhold leaves one slot of a worker idle for a while, longer each time.
+// withholdSlot leaves one slot of a worker idle for a backoff, which doubles with each
+// such refusal.
 func (s *Scheduler) withholdSlot(now time.Duration, w *worker) {
 	backoff := min(s.config.RefusalBackoff<<min(w.busyRefusals, 16), maxWithhold)
 	w.busyRefusals++
--- a/sched/job.go
+++ b/sched/job.go
@@ -7,10 +7,10 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// JobKey identifies a job at one scheduler.
+// JobKey identifies a job within one scheduler.
 type JobKey uint64
 
-// Urgency orders jobs; a higher one goes first.
+// Urgency orders jobs: a job of higher urgency starts first.
 type Urgency int8
 
 // Urgencies.
@@ -20,64 +20,65 @@
 	High
 )
 
-// Resources of a worker, or what a task needs.
+// Resources are the resources that a worker has or a task needs.
 type Resources struct {
 	CPUs         uint32
 	MemoryMB     uint32
 	Accelerators uint32
 }
 
-// Fits tells whether a worker with resources w can run a task that needs r.
+// Fits reports whether a worker with resources w can run a task that needs r.
 func (r Resources) Fits(w Resources) bool {
 	return r.CPUs <= w.CPUs && r.MemoryMB <= w.MemoryMB && r.Accelerators <= w.Accelerators
 }
 
-// Job is a job as the scheduler sees it.
+// Job describes a job to schedule.
 type Job struct {
 	Key     JobKey
 	Kind    string
 	Team    string
 	Urgency Urgency
-	// Weight is the team's share under contention, relative to other teams; 0 counts
-	// as 1.
+	// Weight is the weight of the team under contention, relative to other teams. 0
+	// counts as 1.
 	Weight int
-	// Tasks is the number of tasks, numbered from 0.
+	// Tasks is the number of tasks. They are numbered from 0.
 	Tasks int
-	// Deadline is the time after which nothing of the job may start.
+	// Deadline is the time after which no task of the job may start.
 	Deadline time.Duration
-	// RunTime is the declared run time of a task, a hint; 0 when there is none.
+	// RunTime is the declared run time of a task. It is a hint; 0 means none.
 	RunTime time.Duration
 	Needs   Resources
-	// Domains are the failure domains where the job may run; empty means any.
+	// Domains are the failure domains where the job may run. Empty means any.
 	Domains []string
 }
 
-// job is a job with its progress.
+// job is an admitted job with its progress.
 type job struct {
 	Job
 	kind      *kind
 	submitted time.Duration
-	// promoteAt is when the job goes before all others if it still waits.
+	// promoteAt is when the job is promoted before all others if it still waits.
 	promoteAt time.Duration
-	// alarm is for the promotion, then for the deadline.
+	// timer fires at the promotion and then at the deadline.
 	timer *timer
-	// waiting holds the tasks to start, the next one last.
+	// waiting holds the tasks to start. The last one starts first.
 	waiting   []int
 	running   map[int]*run
 	completed int
-	// attempts counts the starts of each task.
+	// attempts is the number of starts of each task.
 	attempts []uint8
-	// ran is set once a start was not proved to be NotRun.
+	// mayHaveRun is set once a task has ended without proof that it did not run.
 	mayHaveRun bool
 
-	// queue is where the job waits, nil when it has no waiting task.
+	// queue is the queue in which the job waits; nil when the job has no waiting task.
 	queue *kindQueue
-	// order is the job's place in its queue, the lowest first, at position index.
+	// dueAt orders the jobs of the queue, the earliest first. heapIndex is the job's
+	// position in the heap.
 	dueAt     time.Duration
 	heapIndex int
 }
 
-// runKey identifies a started task: a task runs once at a time.
+// runKey identifies a started task. A task has at most one run at a time.
 type runKey struct {
 	job  JobKey
 	task int
@@ -89,7 +90,8 @@
 	grant   *grant
 	kind    *kind
 	started time.Duration
-	// full is set when the task took the last free slot and none was withheld.
+	// tookLastSlot is set when the task took the worker's last free slot and no slot was
+	// withheld.
 	tookLastSlot bool
 }
 
@@ -102,7 +104,7 @@
 	return n
 }
 
-// verdict tells whether any task of the job may have run.
+// verdict returns MayHaveRun if any task of the job may have run, else NotRun.
 func (j *job) verdict() verdict.Verdict {
 	if j.mayHaveRun || len(j.running) > 0 {
 		return verdict.MayHaveRun
@@ -110,15 +112,17 @@
 	return verdict.NotRun
 }
 
-// mayRunIn tells whether the job may run in a failure domain.
+// mayRunIn reports whether the job may run in a failure domain.
 func (j *Job) mayRunIn(domain string) bool { return allows(j.Domains, domain) }
 
-// allows tells whether a list of failure domains, empty for any, has a domain.
+// allows reports whether a list of failure domains contains a domain. An empty list
+// allows any domain.
 func allows(domains []string, domain string) bool {
 	return len(domains) == 0 || slices.Contains(domains, domain)
 }
 
-// overlap tells whether two lists of failure domains have one in common.
+// overlap reports whether two lists of failure domains have a domain in common. An empty
+// list contains every domain.
 func overlap(a, b []string) bool {
 	if len(a) == 0 || len(b) == 0 {
 		return true
--- a/sched/kind.go
+++ b/sched/kind.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// kind is a kind of job with its load at this entry and what was learned about it.
+// kind is a kind of job: its tasks at this entry and what the scheduler learned from
+// earlier runs.
 type kind struct {
 	name string
-	// limit is the most tasks that may run at once; negative means no limit.
+	// limit is the maximum number of running tasks; negative means no limit.
 	limit   int
 	running int
-	// waiting counts the tasks that could start if there were slots.
+	// waiting is the number of tasks in the queues.
 	waiting int
-	// asked counts the slots in requests for a loan that were not answered yet.
+	// requested is the number of slots in loan requests that peers have not answered yet.
 	requested int
 	times     runTimes
-	// needs and domains are those of the latest job.
+	// needs and domains are those of the latest job of the kind.
 	needs   Resources
 	domains []string
-	// failed holds, for each worker that ran a task of the kind, whether the latest
-	// one failed; failing counts those.
+	// lastFailed holds, for each worker that ran a task of the kind, whether the latest
+	// one failed. failingWorkers counts the workers for which it did.
 	lastFailed     map[string]bool
 	failingWorkers int
 }
 
-// suspectWorkers is the number of workers from which failures can tell a bad kind
-// from a bad worker.
+// minSuspectWorkers is the number of workers that must have run a kind before failures
+// can be blamed on the kind instead of a worker.
 const minSuspectWorkers = 3
 
-// room tells how many more tasks of the kind may start.
+// startable returns how many waiting tasks of the kind may start within its limit.
 func (k *kind) startable() int {
 	if k.limit < 0 {
 		return k.waiting
@@ -34,7 +35,7 @@
 	return max(min(k.limit-k.running, k.waiting), 0)
 }
 
-// note remembers how a task of the kind ended on a worker.
+// recordResult records whether the latest task of the kind failed on a worker.
 func (k *kind) recordResult(worker string, failed bool) {
 	before := k.lastFailed[worker]
 	k.lastFailed[worker] = failed
@@ -46,7 +47,7 @@
 	}
 }
 
-// forget drops what is known of a worker.
+// forgetWorker drops the result recorded for a worker.
 func (k *kind) forgetWorker(worker string) {
 	if k.lastFailed[worker] {
 		k.failingWorkers--
@@ -54,13 +55,14 @@
 	delete(k.lastFailed, worker)
 }
 
-// suspect tells whether the kind itself seems to be at fault: it fails on most of the
-// workers that ran it. Ejecting those would leave no workers for the other kinds.
+// suspect reports whether the kind itself seems to be at fault, because its latest tasks
+// failed on most of the workers that ran it. Ejecting those workers would leave none for
+// the other kinds.
 func (k *kind) suspect() bool {
 	return len(k.lastFailed) >= minSuspectWorkers && 2*k.failingWorkers > len(k.lastFailed)
 }
 
-// kind returns the kind of a name, new ones without a limit.
+// kindByName returns the kind with a name. It creates a missing one, without a limit.
 func (s *Scheduler) kindByName(name string, declared time.Duration) *kind {
 	k := s.kinds[name]
 	if k == nil {
@@ -71,7 +73,8 @@
 	return k
 }
 
-// kindOf returns the kind of a job with what the job says of it.
+// updateKind returns the kind of a job, updated with the needs, domains and run time that
+// the job declares.
 func (s *Scheduler) updateKind(j *Job) *kind {
 	declared := j.RunTime
 	if declared <= 0 {
@@ -85,9 +88,9 @@
 	return k
 }
 
-// SetKindLimits replaces the limits of kinds: the most tasks of a kind that this
-// entry may run at once. A kind that is left out has no limit. Tasks above a lowered
-// limit go on.
+// SetKindLimits replaces the limits of all kinds. A limit is the maximum number of tasks
+// of the kind that this entry may run at once. A kind that is left out has no limit.
+// Running tasks beyond a lowered limit continue.
 func (s *Scheduler) SetKindLimits(now time.Duration, limits map[string]int) {
 	for _, k := range s.kindList {
 		k.limit = -1
--- a/sched/kind_test.go
+++ b/sched/kind_test.go
@@ -9,8 +9,8 @@
 	"github.com/lavendercleat/lavendercleat/sched"
 )
 
-// A kind with a limit of two gets two of its tasks started although there are more
-// slots; another kind is not held back, and a raised limit lets the rest start.
+// Guards against exceeding the limit of a kind while slots are free, against holding back
+// another kind, and against ignoring a raised limit.
 func TestKindLimit(t *testing.T) {
 	s := sched.New(sched.DefaultConfig())
 	s.SetWorkers(0, []sched.Worker{{Address: "10.0.0.1:80", Slots: 8}})
--- a/sched/lend.go
+++ b/sched/lend.go
@@ -8,7 +8,7 @@
 	"github.com/lavendercleat/lavendercleat/slot"
 )
 
-// LendRequest is a peer's wish for slots and for longer terms.
+// LendRequest is a peer's request for slots and for the extension of loans.
 type LendRequest struct {
 	Borrower slot.Borrower
 	Slots    int
@@ -17,10 +17,10 @@
 	Extend   []slot.LoanID
 }
 
-// Lend answers a peer's request received at now. An entry with waiting tasks of its
-// own lends nothing and recalls the loans that are to be extended: the slots on which
-// the borrower's tasks still run are busy whatever the ledger says, and would refuse
-// the lender's own.
+// Lend answers a peer's request that was received at now. An entry with waiting tasks of
+// its own lends nothing and recalls the loans that the peer asks to extend. It still
+// extends them: the borrower's tasks occupy those slots whatever the ledger says, and the
+// workers would refuse the lender's own tasks there.
 func (s *Scheduler) Lend(now time.Duration, r LendRequest) LendReply {
 	s.fireTimers(now)
 	s.expireLent(now)
@@ -53,7 +53,7 @@
 	return reply
 }
 
-// remember notes that a peer got less than it asked for.
+// recordUnmetRequest records whether a peer got fewer slots than it requested.
 func (s *Scheduler) recordUnmetRequest(r LendRequest, lent int) {
 	for _, p := range s.peers {
 		if p.Address == r.Borrower.Address && p.Incarnation == r.Borrower.Incarnation {
@@ -62,13 +62,13 @@
 	}
 }
 
-// hint tells peers that lack slots, no more of them than there are slots, that some
-// are free. Without it they would learn it from the next heartbeat, a task's length
-// later.
+// sendHints notifies peers that lack slots that some are free, at most as many peers as
+// there are free slots. Without a hint a peer learns of them only from the next
+// heartbeat, which is about the run time of a task later.
 func (s *Scheduler) sendHints() {
 	free := 0
 	for i := range s.peers {
-		// The turn goes round, so that no peer is always told first.
+		// The starting position rotates, so that no peer is always notified first.
 		p := s.peers[(s.hintTurn+i)%len(s.peers)]
 		if !p.needsSlots {
 			continue
@@ -87,7 +87,7 @@
 	}
 }
 
-// wanted returns how many slots the waiting tasks lack.
+// missingSlots returns how many slots the waiting tasks lack.
 func (s *Scheduler) missingSlots() int {
 	n := 0
 	for _, k := range s.kindList {
@@ -96,7 +96,7 @@
 	return n
 }
 
-// starved tells whether tasks wait for slots of this entry's failure domain.
+// starved reports whether tasks wait for slots in this entry's failure domain.
 func (s *Scheduler) starved() bool {
 	if s.waiting == 0 {
 		return false
@@ -106,7 +106,8 @@
 	})
 }
 
-// collect takes free slots out of the shares, where most are free first.
+// takeFreeSlots takes up to n free slots out of the entry's shares for a loan. It takes
+// from the workers with the most free slots first.
 func (s *Scheduler) takeFreeSlots(now time.Duration, n int, needs Resources) []slot.WorkerSlots {
 	var slots []slot.WorkerSlots
 	at := make(map[*worker]int)
@@ -137,8 +138,8 @@
 	return max(s.index[ownClass].free-reserve, 0)
 }
 
-// HandleReturn takes back slots that a borrower returned before the end of the term; the
-// parts say what it keeps.
+// HandleReturn takes back slots that a borrower returned before the end of the term. The
+// parts say how many slots the borrower keeps.
 func (s *Scheduler) HandleReturn(now time.Duration, b slot.Borrower, parts []slot.Loan) {
 	for _, part := range parts {
 		s.syncLent(s.ledger.Return(b, part))
@@ -149,6 +150,7 @@
 // expireLent takes back the slots of loans whose term is over.
 func (s *Scheduler) expireLent(now time.Duration) { s.syncLent(s.ledger.Expire(now)) }
 
+// syncLent copies the lent slots of the given workers from the ledger to their grants.
 func (s *Scheduler) syncLent(workers []string) {
 	for _, a := range workers {
 		if w := s.workers[a]; w != nil {
--- a/sched/load.go
+++ b/sched/load.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Load is the scheduler's load.
+// Load is the current load of a scheduler.
 type Load struct {
 	Jobs    int
 	Running int
 	Waiting int
-	// Slots are those of this entry's shares, Free those on which a task may start,
-	// borrowed ones included, and Lendable those that peers may borrow.
+	// Slots are the slots of this entry's shares. Free are the slots on which a task may
+	// start, including borrowed ones. Lendable are the slots that peers may borrow.
 	Slots    int
 	Free     int
 	Lendable int
-	// MissingSlots are the slots that waiting tasks lack.
+	// MissingSlots is the number of slots that the waiting tasks lack.
 	MissingSlots int
 	Lent         int
 	Borrowed     int
@@ -44,7 +44,8 @@
 	return l
 }
 
-// ExpectedRunTime returns the expected run time of a kind's tasks, 0 when it is not known.
+// ExpectedRunTime returns the expected run time of a kind's tasks, or 0 for an unknown
+// kind.
 func (s *Scheduler) ExpectedRunTime(kind string) time.Duration {
 	if k := s.kinds[kind]; k != nil {
 		return k.times.mean
--- a/sched/pick.go
+++ b/sched/pick.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// anyFree tells whether any slot is free.
+// anyFree reports whether any slot is free.
 func (s *Scheduler) anyFree() bool {
 	if s.baseline() {
 		return true
@@ -15,15 +15,15 @@
 	return false
 }
 
-// baseline tells whether workers are chosen among all, whatever the shares.
+// baseline reports whether the policy chooses among all workers regardless of shares.
 func (s *Scheduler) baseline() bool {
 	return s.config.Policy == RandomWorker || s.config.Policy == TwoChoices
 }
 
-// pick returns where the next task of a job may start now, nil when it has to wait.
-// It takes the worker with the most free slots: own slots first, then borrowed ones
-// that are expected to last as long as the task, then stragglers where waiting for
-// another worker would take longer.
+// pick returns the grant on which the next task of a job may start now, or nil when the
+// task has to wait. Within a class it picks the worker with the most free slots. The
+// classes in order are: workers being probed, own slots, borrowed slots that are expected
+// to outlast the task, and stragglers if waiting for another worker would take longer.
 func (s *Scheduler) pick(now time.Duration, j *job) *grant {
 	if s.baseline() {
 		return s.pickBaseline(j)
@@ -45,9 +45,9 @@
 	return g
 }
 
-// worthSlow tells whether a straggler should run the job's next task: when it is time
-// to see whether it has recovered, or when the wait for another worker is expected to
-// be longer than what the straggler loses.
+// worthStraggler reports whether a straggler should run the job's next task. It should if
+// a probe of the straggler is due, or if the expected wait for another worker exceeds the
+// extra run time on the straggler.
 func (s *Scheduler) worthStraggler(now time.Duration, j *job, w *worker) bool {
 	if now >= w.probeAt && w.running == 0 {
 		w.probeInterval = min(2*w.probeInterval, maxSlowProbeInterval)
@@ -61,7 +61,7 @@
 	return now-j.submitted > time.Duration(excess*float64(j.kind.times.mean))
 }
 
-// pickAny is the baselines' choice among all workers.
+// pickBaseline chooses a worker for the baseline policies.
 func (s *Scheduler) pickBaseline(j *job) *grant {
 	a := s.randomGrant(j)
 	if s.config.Policy == RandomWorker || a == nil {
@@ -74,7 +74,8 @@
 	return a
 }
 
-// randomGrant returns a random worker that may run the job, nil when there is none.
+// randomGrant returns the grant of a random worker that may run the job, or nil when
+// there is none.
 func (s *Scheduler) randomGrant(j *job) *grant {
 	n := len(s.workerList)
 	if n == 0 {
--- a/sched/queue.go
+++ b/sched/queue.go
@@ -6,39 +6,42 @@
 	"time"
 )
 
-// dueLevel holds the jobs that have waited for long: they go before all others, the
-// earliest deadline first, so that an admitted job is not starved by later ones.
+// promotedLevel holds the promoted jobs, which have waited for long. They start before
+// all others, the earliest deadline first, so that later jobs cannot starve an admitted
+// job.
 const (
 	promotedLevel = int(High) + 1
 	levels        = promotedLevel + 1
 )
 
-// level holds the waiting jobs of one urgency, by team.
+// level holds the waiting jobs of one urgency, by team. Teams share a level by weighted
+// fair queueing.
 type level struct {
 	teams  map[string]*team
 	active []*team
-	// clock is the service that the team chosen last has received. A team that comes
-	// back starts from here: it gets no credit for the time without jobs.
+	// virtualTime is the service of the team that was chosen last. A team without waiting
+	// jobs restarts from here, so that it gets no credit for the time without jobs.
 	virtualTime float64
 }
 
-// team is one team's waiting jobs, by kind.
+// team holds the waiting jobs of one team, by kind.
 type team struct {
 	level  *level
 	weight float64
-	// served is the slot time in seconds that the team has received, by its weight.
+	// service is the slot time in seconds that the team has received, divided by its
+	// weight.
 	service float64
 	queues  []*kindQueue
 }
 
-// kindQueue is a heap of one team's jobs of a kind, the next one first.
+// kindQueue is a heap of the jobs of one team and kind, the next one first.
 type kindQueue struct {
 	team *team
 	kind *kind
 	jobs []*job
-	// waiting counts the tasks.
+	// waiting is the number of waiting tasks of these jobs.
 	waiting int
-	// blocked is the pass in which no slot was found for the first job.
+	// blockedInPass is the latest scheduling pass that found no slot for the first job.
 	blockedInPass uint64
 }
 
@@ -66,7 +69,7 @@
 	return last
 }
 
-// enqueue puts a job with waiting tasks into its queue.
+// enqueue puts a job with waiting tasks into the queue of its team and kind.
 func (s *Scheduler) enqueue(now time.Duration, j *job) {
 	if j.queue != nil || len(j.waiting) == 0 {
 		return
@@ -81,14 +84,14 @@
 	s.addWaiting(j, len(j.waiting))
 }
 
-// count adjusts the numbers of waiting tasks.
+// addWaiting adds n to the counts of waiting tasks that include the job.
 func (s *Scheduler) addWaiting(j *job, n int) {
 	j.queue.waiting += n
 	j.kind.waiting += n
 	s.waiting += n
 }
 
-// dequeue takes a job out of its queue.
+// dequeue removes a job from its queue.
 func (s *Scheduler) dequeue(j *job) {
 	if j.queue == nil {
 		return
@@ -102,7 +105,8 @@
 	}
 }
 
-// promote moves a job that still waits before all others.
+// promote moves a job that still waits to the promoted level and sets the timer for its
+// deadline.
 func (s *Scheduler) promote(now time.Duration, j *job) {
 	j.timer = s.setTimer(j.Deadline, func(time.Duration) { s.expire(j) })
 	if j.queue != nil {
@@ -111,9 +115,9 @@
 	}
 }
 
-// orderOf returns a job's place in its queue: when it is due. That is later after its
-// submission the more work is left, so small jobs and jobs that are nearly done go
-// first, but a job's turn comes however many small ones follow.
+// dueTime returns the time that orders a job in its queue. A job is due later after its
+// submission the more work it has left, so small and nearly completed jobs start first.
+// Since the time counts from the submission, later small jobs cannot starve a large job.
 func (s *Scheduler) dueTime(j *job) time.Duration {
 	if j.queue.team.level == &s.levels[promotedLevel] {
 		return j.Deadline
@@ -122,7 +126,8 @@
 	return j.submitted + time.Duration(s.config.RemainingWorkWeight*float64(left))
 }
 
-// queue returns the queue of a team's kind, in use from now on.
+// queue returns the queue of a team and kind. It creates the queue if needed and makes
+// the team active.
 func (l *level) queue(name string, weight float64, k *kind) *kindQueue {
 	t := l.teams[name]
 	if t == nil {
@@ -144,7 +149,7 @@
 	return q
 }
 
-// drop takes an empty queue out of use.
+// removeQueue removes an empty queue from its team.
 func (t *team) removeQueue(q *kindQueue) {
 	t.queues = slices.DeleteFunc(t.queues, func(o *kindQueue) bool { return o == q })
 	if len(t.queues) == 0 {
@@ -152,9 +157,9 @@
 	}
 }
 
-// next returns the queue whose first job is next: by urgency, then of the team that
-// has received least for its weight, then the job that is due first. Queues that are
-// blocked in this pass are left out.
+// nextQueue returns the queue whose first job starts next: the highest urgency first,
+// then the team with the least service, then the job that is due first. It skips queues
+// that are blocked in this pass.
 func (s *Scheduler) nextQueue(pass uint64) *kindQueue {
 	for i := levels - 1; i >= 0; i-- {
 		var best *kindQueue
@@ -173,7 +178,7 @@
 	return nil
 }
 
-// first returns the team's queue whose first job is due first.
+// firstQueue returns the team's queue whose first job is due first.
 func (t *team) firstQueue(pass uint64) *kindQueue {
 	var best *kindQueue
 	for _, q := range t.queues {
@@ -184,7 +189,7 @@
 	return best
 }
 
-// charge counts a started task as service to its team.
+// charge adds a started task to the service of its team.
 func (t *team) charge(k *kind) {
 	t.level.virtualTime = max(t.level.virtualTime, t.service)
 	t.service += k.times.mean.Seconds() / t.weight
--- a/sched/running.go
+++ b/sched/running.go
@@ -1,6 +1,7 @@
 package sched
 
-// RunningByWorker counts the started tasks by worker, also those whose job has ended.
+// RunningByWorker returns the number of started tasks by worker, including tasks whose
+// job has ended.
 func (s *Scheduler) RunningByWorker() map[string]int {
 	counts := make(map[string]int)
 	for _, r := range s.runs {
@@ -9,7 +10,7 @@
 	return counts
 }
 
-// DemandByKind counts the running and waiting tasks by kind.
+// DemandByKind returns the number of running and waiting tasks by kind.
 func (s *Scheduler) DemandByKind() map[string]int {
 	counts := make(map[string]int)
 	for _, j := range s.jobs {
--- a/sched/runtime.go
+++ b/sched/runtime.go
@@ -8,37 +8,38 @@
 )
 
 const (
-	// sketchAccuracy is the relative error of a quantile.
+	// sketchAccuracy is the relative accuracy of the quantiles of a sketch.
 	sketchAccuracy = 0.05
 	// sketchBins bounds the memory of a sketch.
 	sketchBins = 256
-	// sketchWindow is the number of runs after which a sketch is replaced, so that a
-	// kind whose run times changed is seen to have changed.
+	// sketchWindow is the number of runs after which a new sketch replaces the current
+	// one, so that the quantiles follow a kind whose run times change.
 	sketchWindow = 2000
-	// tailQuantile is what counts as the longest run of a task.
+	// tailQuantile is the quantile that counts as the longest run time of a task.
 	tailQuantile = 0.95
-	// refreshEvery is the number of runs between two looks at the quantile.
+	// refreshEvery is the number of runs between two updates of the tail.
 	refreshEvery = 32
-	// meanWeight is the weight of one run in the moving mean, once there are many.
+	// meanWeight is the weight of one run in the moving average after many runs.
 	meanWeight = 0.02
-	// firstRuns is the number of runs in which the declaration still counts.
+	// declaredRuns is the number of runs after which the declared run time is ignored.
 	declaredRuns = 5
-	// enoughRuns is the number of runs from which observed times are relied on.
+	// minLearnedRuns is the number of runs from which the observed run times are used.
 	minLearnedRuns = 20
 )
 
-// runTimes learns the run times of a kind. Declared times are hints that may be ten
-// times off: a declaration counts as one run, and no longer after firstRuns.
+// runTimes learns the run times of a kind. Declared run times are hints that may be wrong
+// by a factor of ten: a declaration counts as one run, and only until declaredRuns runs
+// have been observed.
 type runTimes struct {
 	runs int
-	// observed is the moving mean of the runs, mean the one to use.
+	// observed is the moving average of the runs. mean is the estimate to use.
 	observed time.Duration
 	declared time.Duration
 	mean     time.Duration
 	// tail is the tailQuantile of the runs.
 	tail   time.Duration
 	sketch *ddsketch.DDSketch
-	// last is the full sketch before the current one.
+	// previous is the full sketch before the current one.
 	previous *ddsketch.DDSketch
 }
 
@@ -46,7 +47,7 @@
 	return runTimes{declared: declared, mean: declared, tail: declared}
 }
 
-// add takes in the run time of one task.
+// add records the run time of one task.
 func (r *runTimes) add(d time.Duration) {
 	r.runs++
 	weight := max(1/float64(r.runs), meanWeight)
@@ -58,26 +59,27 @@
 	if r.sketch == nil || r.sketch.GetCount() >= sketchWindow {
 		r.rotate()
 	}
-	// Only a negative or infinite value makes Add fail.
+	// Add fails only for negative or infinite values.
 	_ = r.sketch.Add(max(d, 0).Seconds())
 	if r.runs < minLearnedRuns || r.runs%refreshEvery == 0 {
 		r.refreshTail()
 	}
 }
 
+// rotate starts a new sketch and keeps the current one as the previous.
 func (r *runTimes) rotate() {
 	fresh, err := ddsketch.LogCollapsingLowestDenseDDSketch(sketchAccuracy, sketchBins)
 	if err != nil {
-		panic(err) // only for an accuracy outside 0..1
+		panic(err) // only for an accuracy outside of 0 to 1
 	}
 	r.previous, r.sketch = r.sketch, fresh
 }
 
-// refresh looks up the tail.
+// refreshTail updates the tail from the sketches.
 func (r *runTimes) refreshTail() { r.tail = r.quantile(tailQuantile, r.tail) }
 
-// quantile returns a quantile of the runs by the fuller sketch, or the given time when
-// there are none.
+// quantile returns a quantile of the run times. It uses the previous sketch until the
+// current one is half full, and returns the fallback when there are no runs.
 func (r *runTimes) quantile(q float64, fallback time.Duration) time.Duration {
 	from := r.sketch
 	if r.previous != nil && from.GetCount() < sketchWindow/2 {
@@ -90,9 +92,9 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// longest returns the time that the longest of a number of tasks stays below with the
-// probability of tailQuantile. Where a few tasks take far longer, a job of many most
-// likely has one of them, though a single task has not.
+// longestOf returns the time within which the longest of a number of tasks ends with the
+// probability tailQuantile. If a few runs take far longer than the others, a job of many
+// tasks most likely contains such a run, while a job of one task most likely does not.
 func (r *runTimes) longestOf(tasks int) time.Duration {
 	if !r.learned() {
 		return r.mean
@@ -100,5 +102,6 @@
 	return r.quantile(math.Pow(tailQuantile, 1/float64(tasks)), r.tail)
 }
 
-// learned tells whether the times were observed rather than declared.
+// learned reports whether enough runs were observed to use them instead of the declared
+// run time.
 func (r *runTimes) learned() bool { return r.runs >= minLearnedRuns }
--- a/sched/scheduler.go
+++ b/sched/scheduler.go
@@ -9,35 +9,35 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// Scheduler is the state machine of one entry; see the package comment.
+// Scheduler is the state machine of one entry; see the package documentation.
 type Scheduler struct {
 	config  Config
 	random  *rand.Rand
 	workers map[string]*worker
-	// list holds the workers in the order of SetWorkers.
+	// workerList holds the workers in the order of SetWorkers.
 	workerList []*worker
 	index      [classes]index
 	capacities capacities
 
 	jobs map[JobKey]*job
-	// runs holds every started task, also those whose job has ended: they keep their
-	// slots until HandleOutcome.
+	// runs holds every started task until HandleOutcome, including tasks whose job has
+	// ended: those still occupy their slots.
 	runs     map[runKey]*run
 	kinds    map[string]*kind
 	kindList []*kind
 	levels   [levels]level
-	// waiting counts the tasks in the queues.
+	// waiting is the number of tasks in the queues.
 	waiting int
 	pass    uint64
 	budget  retryBudget
 
 	peers  []*peer
 	ledger *slot.Ledger
-	// hintTurn is the peer that is told first that slots are free.
+	// hintTurn is the position in peers of the peer that gets a hint first.
 	hintTurn int
 	timers   timers
 	ready    Ready
-	// held keeps tasks from being started; see PauseStarts.
+	// startsPaused prevents task starts; see PauseStarts.
 	startsPaused bool
 }
 
@@ -59,7 +59,7 @@
 	return s
 }
 
-// Submit admits a job, or refuses it with a NotRun failure.
+// Submit admits a job or refuses it with a NotRun failure.
 func (s *Scheduler) Submit(now time.Duration, j Job) *verdict.Failure {
 	s.fireTimers(now)
 	k := s.updateKind(&j)
@@ -78,10 +78,11 @@
 
 // expire fails a job whose deadline has passed.
 func (s *Scheduler) expire(j *job) {
-	s.failJob(j, verdict.New(j.verdict(), verdict.DeadlineExceeded, "the deadline passed"))
+	s.failJob(j, verdict.New(j.verdict(), verdict.DeadlineExceeded, "the deadline passed with %d of %d tasks complete", j.completed, j.Tasks))
 }
 
-// schedule starts waiting tasks on free slots and asks peers for more.
+// schedule starts waiting tasks on free slots. If tasks still wait, it asks peers for
+// slots; if none wait, it sends hints to peers that lack slots.
 func (s *Scheduler) schedule(now time.Duration) {
 	if s.startsPaused {
 		return
@@ -110,12 +111,13 @@
 	}
 }
 
-// start moves a job's next task to a worker.
+// start starts a job's next task on a worker.
 func (s *Scheduler) start(now time.Duration, j *job, g *grant) {
-	// An entry that was frozen must not start what is already too late: the caller
-	// has given up and may have submitted it again.
+	// After a freeze of the process, the deadline of a waiting job may have passed
+	// before its timer fires. The caller has given up and may have submitted the job
+	// again, so its tasks must not start.
 	if now >= j.Deadline {
-		s.failJob(j, verdict.New(j.verdict(), verdict.DeadlineExceeded, "the deadline passed before every task was started"))
+		s.failJob(j, verdict.New(j.verdict(), verdict.DeadlineExceeded, "the deadline passed with %d of %d tasks not started", len(j.waiting), j.Tasks))
 		return
 	}
 	task := s.takeTask(j)
@@ -135,7 +137,7 @@
 	s.ready.Starts = append(s.ready.Starts, st)
 }
 
-// take takes the next task out of the queue.
+// takeTask removes and returns the next waiting task of a job.
 func (s *Scheduler) takeTask(j *job) int {
 	j.queue.team.charge(j.kind)
 	task := j.waiting[len(j.waiting)-1]
@@ -150,7 +152,7 @@
 	return task
 }
 
-// release frees the slot of a task that has ended.
+// releaseSlot frees the slot of a task that has ended.
 func (s *Scheduler) releaseSlot(now time.Duration, g *grant) {
 	g.running--
 	g.worker.running--
@@ -158,7 +160,7 @@
 	s.reindex(g.worker)
 }
 
-// Cancel ends a job for its caller.
+// Cancel ends a job on behalf of its caller.
 func (s *Scheduler) Cancel(now time.Duration, key JobKey) {
 	if j := s.jobs[key]; j != nil {
 		s.failJob(j, verdict.New(j.verdict(), verdict.Canceled, "canceled by the caller"))
@@ -166,8 +168,8 @@
 	}
 }
 
-// Tick acts on the time: deadlines, pauses and loans that are over, and what can
-// start after that.
+// Tick processes the passage of time: it handles due deadlines, backoffs and loan terms,
+// and then starts what can start.
 func (s *Scheduler) Tick(now time.Duration) {
 	s.fireTimers(now)
 	s.expireLent(now)
--- a/sched/settle.go
+++ b/sched/settle.go
@@ -7,16 +7,16 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// retryBudget bounds retries to a part of the first starts: when much is refused, an
-// unbounded number of retries would be most of the traffic.
+// retryBudget bounds retries to a fraction of the first starts. Without it, retries would
+// be most of the traffic when workers refuse many tasks.
 type retryBudget struct {
 	tokens float64
 }
 
-// earn adds what one first start allows.
+// earn adds the retries that one first start allows.
 func (b *retryBudget) earn(c Config) { b.tokens = min(b.tokens+c.RetryRatio, c.RetryBurst) }
 
-// spend tells whether a retry is within the budget.
+// spend takes one retry from the budget and reports whether there was one left.
 func (b *retryBudget) spend() bool {
 	if b.tokens < 1 {
 		return false
@@ -25,7 +25,8 @@
 	return true
 }
 
-// HandleOutcome takes in how a started task ended.
+// HandleOutcome processes the outcome of a started task. It ignores a start that is not
+// running.
 func (s *Scheduler) HandleOutcome(now time.Duration, st Start, o Outcome) {
 	key := runKey{st.Job, st.Task}
 	r := s.runs[key]
@@ -53,8 +54,8 @@
 	s.schedule(now)
 }
 
-// judge takes in what an outcome tells of the worker. A task that was aborted because
-// its job had ended tells nothing.
+// updateHealth updates the health of the worker with an outcome. A task that was aborted
+// because its job had ended says nothing about the worker.
 func (s *Scheduler) updateHealth(now time.Duration, r *run, jobActive bool, f *verdict.Failure) {
 	w := r.grant.worker
 	took := now - r.started
@@ -68,7 +69,7 @@
 	}
 }
 
-// settle decides what a task's outcome means for its job.
+// applyOutcome applies the outcome of a task to its job.
 func (s *Scheduler) applyOutcome(now time.Duration, j *job, r *run, f *verdict.Failure) {
 	task := r.start.Task
 	switch {
@@ -79,17 +80,18 @@
 			s.endJob(j, nil)
 		}
 	case f.Verdict == verdict.NotRun && int(j.attempts[task]) < s.config.MaxAttempts:
-		// Only a proof that the worker did not start the task allows another start.
+		// Start the task again only with proof that the worker did not start it.
 		s.retry(now, j, task)
 	case f.Verdict == verdict.NotRun:
-		s.failJob(j, verdict.Wrap(f, j.verdict(), verdict.RetriesExhausted, "no worker accepted task %d", task))
+		s.failJob(j, verdict.Wrap(f, j.verdict(), verdict.RetriesExhausted, "no worker accepted task %d in %d attempts", task, j.attempts[task]))
 	default:
 		j.mayHaveRun = true
 		s.failJob(j, f)
 	}
 }
 
-// retry lets a refused task wait for another start, later when the budget is spent.
+// retry makes a refused task wait for another start, at once if the retry budget allows
+// it, else after RetryDelay.
 func (s *Scheduler) retry(now time.Duration, j *job, task int) {
 	if s.budget.spend() {
 		s.requeue(now, j, task)
@@ -102,7 +104,7 @@
 	})
 }
 
-// requeue puts a task back among the waiting ones of its job.
+// requeue adds a task to the waiting tasks of its job.
 func (s *Scheduler) requeue(now time.Duration, j *job, task int) {
 	j.waiting = append(j.waiting, task)
 	if j.queue == nil {
@@ -114,8 +116,8 @@
 	heap.Fix(j.queue, j.heapIndex)
 }
 
-// fail ends a job with a failure whose verdict covers all of its tasks, drops what
-// waits and aborts what runs.
+// failJob ends a job with a failure. It drops the waiting tasks, aborts the running ones
+// and sets the verdict that covers all tasks of the job.
 func (s *Scheduler) failJob(j *job, f *verdict.Failure) {
 	jobFailure := *f
 	jobFailure.Verdict = j.verdict()
@@ -127,7 +129,7 @@
 	s.endJob(j, &jobFailure)
 }
 
-// end ends a job.
+// endJob removes a job and reports its end.
 func (s *Scheduler) endJob(j *job, f *verdict.Failure) {
 	delete(s.jobs, j.Key)
 	s.stopTimer(j.timer)
--- a/sched/stop.go
+++ b/sched/stop.go
@@ -6,9 +6,9 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// PauseStarts keeps tasks from being started until ResumeStarts; jobs are still admitted. Use it
-// while the list of workers may be badly out of date, for instance after a pause of
-// the process: its slots may have been given to others.
+// PauseStarts prevents task starts until ResumeStarts. Jobs are still admitted. Use it
+// while the list of workers may be badly out of date, for example after a pause of the
+// process, because the slots in the list may have been assigned to other entries.
 func (s *Scheduler) PauseStarts() { s.startsPaused = true }
 
 // ResumeStarts ends PauseStarts and starts what can start.
@@ -17,9 +17,9 @@
 	s.schedule(now)
 }
 
-// Stop ends every job with reason Stopping, for an embedder that must end now.
+// Stop ends every job with the reason Stopping. Use it when the embedder must stop now.
 func (s *Scheduler) Stop() {
 	for _, j := range s.jobs {
-		s.failJob(j, verdict.New(j.verdict(), verdict.Stopping, "the entry stopped before the job was done").After(time.Second))
+		s.failJob(j, verdict.New(j.verdict(), verdict.Stopping, "the entry stopped with %d of %d tasks complete", j.completed, j.Tasks).After(time.Second))
 	}
 }
--- a/sched/timer.go
+++ b/sched/timer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// timer is something to do at a time, at position index of the heap.
+// timer calls a function at a time. heapIndex is its position in the heap of timers.
 type timer struct {
 	at        time.Duration
 	call      func(now time.Duration)
@@ -40,21 +40,21 @@
 	return last
 }
 
-// after arranges for do to be called by the first Tick at or after a time.
+// setTimer makes the first call of fireTimers at or after the given time call do.
 func (s *Scheduler) setTimer(at time.Duration, do func(now time.Duration)) *timer {
 	t := &timer{at: at, call: do}
 	heap.Push(&s.timers, t)
 	return t
 }
 
-// stop stops a timer that may have fired.
+// stopTimer stops a timer. It does nothing for a timer that has fired.
 func (s *Scheduler) stopTimer(t *timer) {
 	if t != nil && t.heapIndex >= 0 {
 		heap.Remove(&s.timers, t.heapIndex)
 	}
 }
 
-// fire runs what is due.
+// fireTimers calls and removes the timers that are due.
 func (s *Scheduler) fireTimers(now time.Duration) {
 	for len(s.timers) > 0 && s.timers[0].at <= now {
 		heap.Pop(&s.timers).(*timer).call(now)
--- a/sched/worker.go
+++ b/sched/worker.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Worker is a worker with the slots that this entry may use on it.
+// Worker describes a worker and the slots that this entry may use on it.
 type Worker struct {
 	// Address is the worker's IP:port.
 	Address string
 	Domain  string
 	// Slots is this entry's share of the worker's slots.
 	Slots int
-	// Total is the number of the worker's slots; only the baselines use it.
+	// Total is the number of all slots of the worker. Only the baseline policies use it.
 	Total     int
 	Resources Resources
-	// Drained workers get no new task.
+	// Drained workers get no new tasks.
 	Drained bool
 }
 
-// worker is a worker with its load and health.
+// worker is a worker with its grants, its load and its health.
 type worker struct {
 	Worker
 	own      grant
 	borrowed []*grant
 	running  int
-	// leaving is set once the worker itself, or a peer, said that it is leaving.
+	// leaving is set once the worker itself or a peer has reported that it is leaving.
 	leaving bool
-	// gone is set when the worker left the list while tasks were still running.
+	// removed is set when the worker was removed from the list while it still ran tasks.
 	removed bool
 	health
 }
@@ -35,14 +35,14 @@
 	return n
 }
 
-// usable tells whether the worker may get work at all, now or later.
+// usable reports whether the worker may get tasks, now or after a backoff or ejection.
 func (w *worker) usable() bool {
 	return !w.Drained && !w.leaving && !w.removed
 }
 
-// SetWorkers replaces the list of workers and this entry's shares. Tasks running on
-// a worker that is no longer listed go on. Pass workers that are still leaving as
-// Drained: the mark that SetLeaving or an outcome made ends here.
+// SetWorkers replaces the list of workers and this entry's shares. Tasks continue on a
+// worker that is no longer listed. Pass workers that are still leaving as Drained,
+// because SetWorkers clears the mark that SetLeaving or an outcome set.
 func (s *Scheduler) SetWorkers(now time.Duration, list []Worker) {
 	old := s.workers
 	s.workers = make(map[string]*worker, len(list))
@@ -71,7 +71,7 @@
 	s.schedule(now)
 }
 
-// SetLeaving marks a worker that is leaving: it gets no new task.
+// SetLeaving marks a worker as leaving, so that it gets no new tasks.
 func (s *Scheduler) SetLeaving(address string) {
 	if w := s.workers[address]; w != nil {
 		w.leaving = true
