--- a/sched/admit.go
+++ b/sched/admit.go
@@ -1,5 +1,8 @@
 package sched
 
+// This file implements admission control: which jobs the scheduler refuses at submission,
+// and the Retry-After of a refusal.
+
 import (
 	"time"
 
@@ -12,7 +15,7 @@
 	// minRetryAfter and maxRetryAfter bound the Retry-After computed from the backlog.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
-	// capacityMaxAge is how long a capacity count is reused before a recount.
+	// capacityMaxAge is the age from which the scheduler recounts the capacity.
 	capacityMaxAge = 10 * time.Millisecond
 )
 
@@ -62,7 +65,7 @@
 }
 
 // lateBy returns by how much the expected wait exceeds the time that the job can wait.
-// It returns 0 when the job can be admitted.
+// It returns 0 or less when the scheduler can admit the job.
 func (s *Scheduler) lateBy(now time.Duration, j *Job, k *kind) time.Duration {
 	remaining := max(j.Deadline-now-k.times.longestOf(j.Tasks), 0)
 	c := s.capacity(now, j)
@@ -88,7 +91,7 @@
 
 func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// workAhead returns the slot time, in seconds, that is scheduled before the job: all
+// workAhead returns the slot time, in seconds, that the scheduler starts before the job: all
 // waiting work of higher urgency, and the work of the same urgency that the weighted
 // sharing between teams puts before the job.
 func (s *Scheduler) workAhead(j *Job, jobWork float64) float64 {
@@ -161,7 +164,7 @@
 	return c.laterIn + duration(left/float64(c.later))
 }
 
-// capacities is a cached count of the slots that are in use or free, by failure domain.
+// capacities caches the count of slots in use or free, by failure domain.
 type capacities struct {
 	countedAt time.Duration
 	stale     bool
--- a/sched/borrow.go
+++ b/sched/borrow.go
@@ -1,5 +1,8 @@
 package sched
 
+// This file implements the borrower's side of slot loans: which slots the entry requests
+// from which peer, and when it extends, uses and returns them.
+
 import (
 	"slices"
 	"time"
@@ -19,7 +22,8 @@
 type peer struct {
 	Peer
 	// lendable is the number of slots that the peer last reported as lendable, minus
-	// those requested since. A peer without lendable slots is not asked.
+	// those that this entry has requested since. The entry does not ask a peer without
+	// lendable slots.
 	lendable int
 	// needsSlots is set while the peer lacks slots that this entry could not lend.
 	needsSlots bool
@@ -56,8 +60,8 @@
 )
 
 // SetPeers replaces the list of live peers. The scheduler starts no more tasks on slots
-// borrowed from a peer that was removed or replaced by a new incarnation, because the
-// remaining entries divide that peer's slots among themselves.
+// borrowed from a peer that is no longer in the list, or is there with a new incarnation,
+// because the remaining entries divide that peer's slots among themselves.
 func (s *Scheduler) SetPeers(now time.Duration, list []Peer) {
 	old := s.peers
 	s.peers = nil
@@ -82,17 +86,17 @@
 
 // SetPeerFree stores how many slots a peer reports that it could lend, and how many it
 // lacks.
-func (s *Scheduler) SetPeerFree(now time.Duration, p Peer, free, wanted int) {
+func (s *Scheduler) SetPeerFree(now time.Duration, p Peer, lendable, missing int) {
 	o := s.peer(p)
 	if o == nil {
 		return
 	}
-	o.needsSlots = wanted > 0
+	o.needsSlots = missing > 0
 	if o.requestPending {
 		return // the pending answer will be newer than this report
 	}
-	o.lendable = free
-	if free > 0 && s.waiting > 0 {
+	o.lendable = lendable
+	if lendable > 0 && s.waiting > 0 {
 		s.schedule(now)
 	}
 }
@@ -212,7 +216,7 @@
 	Free int
 }
 
-// HandleLendReply processes a peer's answer to a Borrow; answer is nil when the peer did
+// HandleLendReply processes a peer's answer to a Borrow; reply is nil when the peer did
 // not answer. The loan term counts from the time of the decision to ask, so a late
 // answer leaves less of the term.
 func (s *Scheduler) HandleLendReply(now time.Duration, b Borrow, reply *LendReply) {
@@ -221,7 +225,7 @@
 	}
 	p := s.peer(b.Peer)
 	if p == nil {
-		return // the peer was removed, and the remaining entries divide the slots that it lent
+		return // SetPeers removed the peer; the remaining entries divide the slots that it lent
 	}
 	p.requestPending = false
 	s.applyExtensions(p, b, reply)
@@ -252,8 +256,8 @@
 	}
 }
 
-// recallLoan stops starting tasks on a loan's slots. Each slot is returned once its task
-// has ended.
+// recallLoan stops starting tasks on a loan's slots. The entry returns each slot
+// once its task has ended.
 func (s *Scheduler) recallLoan(l *loan) {
 	l.recalled = true
 	for _, g := range l.grants {
--- a/sched/ready.go
+++ b/sched/commands.go
@@ -35,8 +35,8 @@
 type Borrow struct {
 	Peer  Peer
 	Slots int
-	// Term counts from Sent, the time of the decision to ask. The message is sent at that
-	// time or later, so the peer's term does not end before this one.
+	// Term counts from Sent, the time of the decision to ask. The embedder sends the
+	// message at that time or later, so the peer's term does not end before this one.
 	Term   time.Duration
 	Sent   time.Duration
 	Needs  Resources
--- a/sched/config.go
+++ b/sched/config.go
@@ -61,19 +61,19 @@
 	// to MaxLoanTerm.
 	LoanTerm    time.Duration
 	MaxLoanTerm time.Duration
-	// ReturnIdleAfter is how long a borrowed slot stays idle before it is returned.
+	// ReturnIdleAfter is how long a borrowed slot stays idle before the entry returns it.
 	ReturnIdleAfter time.Duration
 	// LendReserveFraction is the fraction of its own slots that an entry never lends.
 	LendReserveFraction float64
 
-	// MaxWaitFraction is, by urgency, the fraction of the time to its deadline that a job
-	// may be expected to wait. The scheduler refuses a job that would wait longer.
+	// MaxWaitFraction is, by urgency, the fraction of the time to its deadline that a job's
+	// expected wait may take. The scheduler refuses a job that would wait longer.
 	MaxWaitFraction [High + 1]float64
 	// MaxBacklogFraction is the same limit for the wait behind all waiting jobs together.
 	MaxBacklogFraction float64
 	// PromoteAfterFraction is the fraction of the time to its deadline after which a
-	// waiting job is promoted: promoted jobs start before all others, earliest deadline
-	// first.
+	// scheduler promotes a waiting job. Promoted jobs start before all others, the
+	// earliest deadline first.
 	PromoteAfterFraction float64
 	// RemainingWorkWeight orders the jobs of a team. A job is due at its submission time
 	// plus RemainingWorkWeight times its remaining slot time. 0 means first come, first
@@ -86,8 +86,8 @@
 	RefusalBackoff time.Duration
 	DialBackoff    time.Duration
 	MaxBackoff     time.Duration
-	// EjectAfterFailures is the number of failures in a row after which a worker is
-	// ejected. The first ejection lasts EjectDuration; each further one lasts twice as
+	// EjectAfterFailures is the number of failures in a row after which the scheduler
+	// ejects a worker. The first ejection lasts EjectDuration; each further one lasts twice as
 	// long, up to MaxEjectDuration.
 	EjectAfterFailures int
 	EjectDuration      time.Duration
--- a/sched/doc.go
+++ b/sched/doc.go
@@ -1,5 +1,6 @@
 // Package sched schedules the tasks of submitted jobs on workers. It decides which task
-// starts on which worker, and when a job is refused, retried, failed or complete.
+// starts on which worker, which jobs it refuses, which tasks it retries, and when a job has
+// failed or is complete.
 //
 // A Scheduler is the state machine of one entry. It does no I/O, starts no goroutine and
 // reads no clock. The embedder passes in events together with the time, a duration on
--- a/sched/grant.go
+++ b/sched/grant.go
@@ -1,5 +1,8 @@
 package sched
 
+// This file implements grants, the entry's rights to use slots of workers, and the index
+// that finds the grant with the most free slots.
+
 import "time"
 
 // grant is this entry's right to use some slots of one worker, either its share or the
@@ -7,7 +10,7 @@
 type grant struct {
 	worker *worker
 	slots  int
-	// lent is the number of slots of the share that are lent to peers.
+	// lent is the number of slots of the share that the entry has lent to peers.
 	lent    int
 	running int
 	// loan is nil for the entry's share.
@@ -26,16 +29,16 @@
 type class uint8
 
 const (
-	// probeClass is for workers that are being probed: the first task after a backoff or
+	// probeClass is for workers that get one task at a time: the first task after a backoff or
 	// an ejection shows whether the worker has recovered.
 	probeClass class = iota
 	// ownClass is for the slots of the entry's shares.
 	ownClass
 	// borrowedClass comes after ownClass, so that borrowed slots become idle first and
-	// are returned early.
+	// the entry returns them early.
 	borrowedClass
-	// slowClass is for the slots of stragglers.
-	slowClass
+	// stragglerClass is for the slots of stragglers.
+	stragglerClass
 	// classes is the number of classes.
 	classes
 )
@@ -60,8 +63,8 @@
 // ended reports whether no more tasks may start on the grant.
 func (g *grant) ended() bool { return g.loan != nil && (g.loan.ended || g.loan.recalled) }
 
-// outlasts reports whether the grant is expected to last until a task that starts now
-// has ended.
+// outlasts reports whether the grant is a share, or its loan ends no earlier than the
+// expected end of a task that starts now.
 func (g *grant) outlasts(now, runTime time.Duration) bool {
 	return g.loan == nil || now+runTime <= g.loan.until
 }
@@ -71,8 +74,8 @@
 	switch {
 	case g.worker.probing():
 		return probeClass
-	case g.worker.slow:
-		return slowClass
+	case g.worker.straggler:
+		return stragglerClass
 	case g.loan != nil:
 		return borrowedClass
 	}
--- a/sched/health.go
+++ b/sched/health.go
@@ -1,5 +1,8 @@
 package sched
 
+// This file tracks the health of workers: backoff after refusals, ejection after failures,
+// and the detection of stragglers.
+
 import (
 	"time"
 
@@ -15,22 +18,23 @@
 	recoveryRuns = 3
 	// slowdownWeight is the weight of one run in a worker's slowdown.
 	slowdownWeight = 0.1
-	// minSlowdownRuns is the number of runs from which a worker's slowdown is used.
+	// minSlowdownRuns is the number of runs from which the scheduler uses a worker's
+	// slowdown.
 	minSlowdownRuns = 10
-	// slowProbeInterval is the first interval between tasks that test whether a straggler
-	// has recovered. The interval doubles up to maxSlowProbeInterval.
-	slowProbeInterval    = 2 * time.Second
-	maxSlowProbeInterval = 30 * time.Second
+	// stragglerProbeInterval is the first interval between tasks that test whether a
+	// straggler has recovered. The interval doubles up to maxStragglerProbeInterval.
+	stragglerProbeInterval    = 2 * time.Second
+	maxStragglerProbeInterval = 30 * time.Second
 	// maxSlowdown bounds the effect of one run on a worker's slowdown.
 	maxSlowdown = 10
-	// failRateWeight is the weight of one run in a worker's failure rate. A worker is
-	// ejected above ejectFailRate even though some of its tasks succeed.
+	// failRateWeight is the weight of one run in a worker's failure rate. The
+	// scheduler ejects a worker above ejectFailRate even though some of its tasks succeed.
 	failRateWeight = 0.1
 	ejectFailRate  = 0.5
 	// maxWithhold bounds the time for which a slot is withheld after a refusal.
 	maxWithhold = time.Second
-	// blameTailFactor times the tail run time of the kind is the run time below which a
-	// timeout is blamed on a short deadline and not on the worker.
+	// blameTailFactor times the tail run time of the kind is the run time from which the
+	// scheduler blames a timeout on the worker, and not on a short deadline.
 	blameTailFactor = 3
 )
 
@@ -56,10 +60,11 @@
 	// ejection.
 	probation int
 	// slowdown is the moving average of run times relative to the mean of the kind
-	// (1 = as fast as the mean), runs the number of runs in it. slow marks a straggler.
-	slowdown float64
-	runs     int
-	slow     bool
+	// (1 = as fast as the mean), runs the number of runs in it. straggler is set
+	// while the worker counts as a straggler.
+	slowdown  float64
+	runs      int
+	straggler bool
 	// probeAt is when a straggler gets the next task that tests whether it has recovered.
 	probeAt       time.Duration
 	probeInterval time.Duration
@@ -95,12 +100,12 @@
 	w.runs++
 	weight := max(1/float64(w.runs), slowdownWeight)
 	w.slowdown += weight * (min(slowdown, maxSlowdown) - w.slowdown)
-	slow := w.runs >= minSlowdownRuns && w.slowdown >= s.config.StragglerSlowdown
-	if slow && !w.slow {
-		w.probeInterval = slowProbeInterval
+	straggler := w.runs >= minSlowdownRuns && w.slowdown >= s.config.StragglerSlowdown
+	if straggler && !w.straggler {
+		w.probeInterval = stragglerProbeInterval
 		w.probeAt = now + w.probeInterval
 	}
-	w.slow = slow
+	w.straggler = straggler
 }
 
 // recordFailure records the failure of a task that may have run. It ejects a worker that
@@ -130,7 +135,7 @@
 
 // tooManyEjected reports whether one more ejection would leave less than half of the
 // failure domain's workers. For a small domain it counts all workers instead: otherwise
-// the only worker of a domain could never be ejected, and a worker that fails at once
+// the scheduler could never eject the only worker of a domain, and a worker that fails at once
 // would attract the tasks of the others.
 func (s *Scheduler) tooManyEjected(domain string) bool {
 	all, ejected := s.countEjected(func(w *worker) bool { return w.Domain == domain })
@@ -185,7 +190,7 @@
 		return
 	}
 	if w.backingOff {
-		return // the task was sent before the backoff began
+		return // the entry sent the task before the backoff began
 	}
 	if w.running > 1 && reason == verdict.WorkerRefused {
 		s.withholdSlot(now, w)
--- a/sched/job.go
+++ b/sched/job.go
@@ -55,9 +55,9 @@
 // job is an admitted job with its progress.
 type job struct {
 	Job
-	kind      *kind
-	submitted time.Duration
-	// promoteAt is when the job is promoted before all others if it still waits.
+	kind        *kind
+	submittedAt time.Duration
+	// promoteAt is when the scheduler promotes the job before all others if it still waits.
 	promoteAt time.Duration
 	// timer fires at the promotion and then at the deadline.
 	timer *timer
@@ -70,7 +70,7 @@
 	// mayHaveRun is set once a task has ended without proof that it did not run.
 	mayHaveRun bool
 
-	// queue is the queue in which the job waits; nil when the job has no waiting task.
+	// queue holds the job while it waits; nil when the job has no waiting task.
 	queue *kindQueue
 	// dueAt orders the jobs of the queue, the earliest first. heapIndex is the job's
 	// position in the heap.
@@ -86,17 +86,17 @@
 
 // run is one started task.
 type run struct {
-	start   Start
-	grant   *grant
-	kind    *kind
-	started time.Duration
+	start     Start
+	grant     *grant
+	kind      *kind
+	startedAt time.Duration
 	// tookLastSlot is set when the task took the worker's last free slot and no slot was
 	// withheld.
 	tookLastSlot bool
 }
 
 func newJob(now time.Duration, j Job, k *kind) *job {
-	n := &job{Job: j, kind: k, submitted: now, running: make(map[int]*run), attempts: make([]uint8, j.Tasks)}
+	n := &job{Job: j, kind: k, submittedAt: now, running: make(map[int]*run), attempts: make([]uint8, j.Tasks)}
 	n.waiting = make([]int, j.Tasks)
 	for i := range n.waiting {
 		n.waiting[i] = j.Tasks - 1 - i
--- a/sched/kind.go
+++ b/sched/kind.go
@@ -23,8 +23,8 @@
 	failingWorkers int
 }
 
-// minSuspectWorkers is the number of workers that must have run a kind before failures
-// can be blamed on the kind instead of a worker.
+// minSuspectWorkers is the number of workers that must have run a kind before the
+// scheduler blames failures on the kind instead of a worker.
 const minSuspectWorkers = 3
 
 // startable returns how many waiting tasks of the kind may start within its limit.
--- a/sched/lend.go
+++ b/sched/lend.go
@@ -1,5 +1,8 @@
 package sched
 
+// This file implements the lender's side of slot loans: which slots the entry lends to
+// peers, and when it takes them back.
+
 import (
 	"math"
 	"slices"
@@ -17,7 +20,7 @@
 	Extend   []slot.LoanID
 }
 
-// Lend answers a peer's request that was received at now. An entry with waiting tasks of
+// Lend answers a peer's request that the entry received at now. An entry with waiting tasks of
 // its own lends nothing and recalls the loans that the peer asks to extend. It still
 // extends them: the borrower's tasks occupy those slots whatever the ledger says, and the
 // workers would refuse the lender's own tasks there.
@@ -68,7 +71,7 @@
 func (s *Scheduler) sendHints() {
 	free := 0
 	for i := range s.peers {
-		// The starting position rotates, so that no peer is always notified first.
+		// The starting position rotates, so that the entry does not always notify the same peer first.
 		p := s.peers[(s.hintTurn+i)%len(s.peers)]
 		if !p.needsSlots {
 			continue
--- a/sched/loan_test.go
+++ b/sched/loan_test.go
@@ -110,8 +110,8 @@
 	assert.Equal(t, len(s.takeStarts()), 3)
 }
 
-// Guards against keeping idle borrowed slots. All idle slots of a peer are returned in one
-// message, which says how many slots the borrower keeps.
+// Guards against keeping idle borrowed slots. The borrower returns all idle slots
+// of a peer in one message, which says how many slots it keeps.
 func TestIdleBorrowedSlotsAreReturned(t *testing.T) {
 	s := newShortEntry(t)
 	s.SetPeerFree(0, sameDomainPeer, 3, 0)
@@ -134,7 +134,8 @@
 }
 
 // Guards against asking a lender again that declined an extension, and against using the
-// slots after the term. A loan in use is extended before its end.
+// slots after the term. The borrower asks for an extension before the end
+// of a loan in use.
 func TestLoanIsExtendedUntilLenderDeclines(t *testing.T) {
 	s := newShortEntry(t)
 	s.SetPeerFree(0, sameDomainPeer, 3, 0)
--- a/sched/order_test.go
+++ b/sched/order_test.go
@@ -72,7 +72,7 @@
 }
 
 // Guards against a job of low urgency that misses its deadline because urgent jobs keep
-// arriving. It is promoted at half of the time to its deadline.
+// arriving. The scheduler promotes it at half of the time to its deadline.
 func TestWaitingJobIsPromoted(t *testing.T) {
 	s, running := newBusyScenario(t)
 	s.submit(0, sched.Job{Key: 1, Urgency: sched.Low, Deadline: 4 * time.Second})
--- a/sched/settle.go
+++ b/sched/outcome.go
@@ -1,5 +1,8 @@
 package sched
 
+// This file processes the outcomes of tasks: it updates the worker's health, retries refused
+// tasks and ends jobs.
+
 import (
 	"container/heap"
 	"time"
@@ -54,11 +57,11 @@
 	s.schedule(now)
 }
 
-// updateHealth updates the health of the worker with an outcome. A task that was aborted
-// because its job had ended says nothing about the worker.
+// updateHealth updates the health of the worker with an outcome. A task that the
+// scheduler aborted because its job had ended says nothing about the worker.
 func (s *Scheduler) updateHealth(now time.Duration, r *run, jobActive bool, f *verdict.Failure) {
 	w := r.grant.worker
-	took := now - r.started
+	took := now - r.startedAt
 	switch {
 	case f == nil:
 		s.recordSuccess(now, w, r.kind, took, r.tookLastSlot)
--- a/sched/pick.go
+++ b/sched/pick.go
@@ -1,5 +1,7 @@
 package sched
 
+// This file chooses the worker for the next task of a job.
+
 import "time"
 
 // anyFree reports whether any slot is free.
@@ -22,8 +24,9 @@
 
 // pick returns the grant on which the next task of a job may start now, or nil when the
 // task has to wait. Within a class it picks the worker with the most free slots. The
-// classes in order are: workers being probed, own slots, borrowed slots that are expected
-// to outlast the task, and stragglers if waiting for another worker would take longer.
+// classes in order are: workers that get one task at a time, own slots, borrowed slots whose
+// loan outlasts the task's expected run, and stragglers if waiting for another worker would
+// take longer.
 func (s *Scheduler) pick(now time.Duration, j *job) *grant {
 	if s.baseline() {
 		return s.pickBaseline(j)
@@ -38,7 +41,7 @@
 	if g := s.index[borrowedClass].best(now, j.Needs, j.Domains, times.tail); g != nil {
 		return g
 	}
-	g := s.index[slowClass].best(now, j.Needs, j.Domains, times.tail)
+	g := s.index[stragglerClass].best(now, j.Needs, j.Domains, times.tail)
 	if g == nil || !s.worthStraggler(now, j, g.worker) {
 		return nil
 	}
@@ -50,7 +53,7 @@
 // extra run time on the straggler.
 func (s *Scheduler) worthStraggler(now time.Duration, j *job, w *worker) bool {
 	if now >= w.probeAt && w.running == 0 {
-		w.probeInterval = min(2*w.probeInterval, maxSlowProbeInterval)
+		w.probeInterval = min(2*w.probeInterval, maxStragglerProbeInterval)
 		w.probeAt = now + w.probeInterval
 		return true
 	}
@@ -58,7 +61,7 @@
 	if float64(s.waiting) > excess*float64(max(s.capacities.total, 1)) {
 		return true
 	}
-	return now-j.submitted > time.Duration(excess*float64(j.kind.times.mean))
+	return now-j.submittedAt > time.Duration(excess*float64(j.kind.times.mean))
 }
 
 // pickBaseline chooses a worker for the baseline policies.
--- a/sched/queue.go
+++ b/sched/queue.go
@@ -1,5 +1,8 @@
 package sched
 
+// This file implements the queues of waiting jobs, by urgency, team and kind, and the order
+// in which they start.
+
 import (
 	"container/heap"
 	"slices"
@@ -19,7 +22,7 @@
 type level struct {
 	teams  map[string]*team
 	active []*team
-	// virtualTime is the service of the team that was chosen last. A team without waiting
+	// virtualTime is the service of the team that the scheduler chose last. A team without waiting
 	// jobs restarts from here, so that it gets no credit for the time without jobs.
 	virtualTime float64
 }
@@ -123,7 +126,7 @@
 		return j.Deadline
 	}
 	left := j.kind.times.mean * time.Duration(len(j.waiting))
-	return j.submitted + time.Duration(s.config.RemainingWorkWeight*float64(left))
+	return j.submittedAt + time.Duration(s.config.RemainingWorkWeight*float64(left))
 }
 
 // queue returns the queue of a team and kind. It creates the queue if needed and makes
--- a/sched/runtime.go
+++ b/sched/run_times.go
@@ -1,5 +1,7 @@
 package sched
 
+// This file estimates the run times of tasks from declared and observed run times.
+
 import (
 	"math"
 	"time"
@@ -21,15 +23,17 @@
 	refreshEvery = 32
 	// meanWeight is the weight of one run in the moving average after many runs.
 	meanWeight = 0.02
-	// declaredRuns is the number of runs after which the declared run time is ignored.
+	// declaredRuns is the number of runs from which the estimate ignores the declared
+	// run time.
 	declaredRuns = 5
-	// minLearnedRuns is the number of runs from which the observed run times are used.
+	// minLearnedRuns is the number of runs from which the scheduler relies on the observed
+	// run times.
 	minLearnedRuns = 20
 )
 
 // runTimes learns the run times of a kind. Declared run times are hints that may be wrong
-// by a factor of ten: a declaration counts as one run, and only until declaredRuns runs
-// have been observed.
+// by a factor of ten: a declaration counts as one run, and only until the kind has had
+// declaredRuns runs.
 type runTimes struct {
 	runs int
 	// observed is the moving average of the runs. mean is the estimate to use.
@@ -81,11 +85,11 @@
 // quantile returns a quantile of the run times. It uses the previous sketch until the
 // current one is half full, and returns the fallback when there are no runs.
 func (r *runTimes) quantile(q float64, fallback time.Duration) time.Duration {
-	from := r.sketch
-	if r.previous != nil && from.GetCount() < sketchWindow/2 {
-		from = r.previous
+	source := r.sketch
+	if r.previous != nil && source.GetCount() < sketchWindow/2 {
+		source = r.previous
 	}
-	seconds, err := from.GetValueAtQuantile(q)
+	seconds, err := source.GetValueAtQuantile(q)
 	if err != nil {
 		return fallback
 	}
@@ -102,6 +106,6 @@
 	return r.quantile(math.Pow(tailQuantile, 1/float64(tasks)), r.tail)
 }
 
-// learned reports whether enough runs were observed to use them instead of the declared
-// run time.
+// learned reports whether the kind has had enough runs to rely on them instead of the
+// declared run time.
 func (r *runTimes) learned() bool { return r.runs >= minLearnedRuns }
--- a/sched/scheduler.go
+++ b/sched/scheduler.go
@@ -66,12 +66,12 @@
 	if refusal := s.admit(now, &j, k); refusal != nil {
 		return refusal
 	}
-	n := newJob(now, j, k)
+	admitted := newJob(now, j, k)
 	left := j.Deadline - now
-	n.promoteAt = now + time.Duration(s.config.PromoteAfterFraction*float64(left))
-	s.jobs[j.Key] = n
-	n.timer = s.setTimer(n.promoteAt, func(now time.Duration) { s.promote(now, n) })
-	s.enqueue(now, n)
+	admitted.promoteAt = now + time.Duration(s.config.PromoteAfterFraction*float64(left))
+	s.jobs[j.Key] = admitted
+	admitted.timer = s.setTimer(admitted.promoteAt, func(now time.Duration) { s.promote(now, admitted) })
+	s.enqueue(now, admitted)
 	s.schedule(now)
 	return nil
 }
@@ -126,7 +126,7 @@
 	if st.Attempt == 1 {
 		s.budget.earn(s.config)
 	}
-	r := &run{start: st, grant: g, kind: j.kind, started: now}
+	r := &run{start: st, grant: g, kind: j.kind, startedAt: now}
 	s.runs[runKey{j.Key, task}] = r
 	j.running[task] = r
 	j.kind.running++
--- a/sched/stop.go
+++ b/sched/stop.go
@@ -1,14 +1,16 @@
 package sched
 
+// This file pauses task starts and stops the scheduler.
+
 import (
 	"time"
 
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// PauseStarts prevents task starts until ResumeStarts. Jobs are still admitted. Use it
-// while the list of workers may be badly out of date, for example after a pause of the
-// process, because the slots in the list may have been assigned to other entries.
+// PauseStarts prevents task starts until ResumeStarts. The scheduler still admits jobs. Use
+// it while the list of workers may be badly out of date, for example after a pause of the
+// process, because the slots in the list may belong to other entries by now.
 func (s *Scheduler) PauseStarts() { s.startsPaused = true }
 
 // ResumeStarts ends PauseStarts and starts what can start.
--- a/sched/worker.go
+++ b/sched/worker.go
@@ -24,7 +24,7 @@
 	running  int
 	// leaving is set once the worker itself or a peer has reported that it is leaving.
 	leaving bool
-	// removed is set when the worker was removed from the list while it still ran tasks.
+	// removed is set once SetWorkers no longer lists the worker. Its tasks may still run.
 	removed bool
 	health
 }
