--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -21,15 +21,15 @@
 
 // bucket is the token bucket of one team, in task starts. It admits a job while the
 // balance is above zero. The job may overdraw the balance, so that a job larger than the
-// saved-up share is not refused forever. The refill pays off the debt before the next job
-// is admitted.
+// saved-up share is not refused forever. The refill pays off the debt before the bucket
+// admits the next job.
 type bucket struct {
 	// rate is the share in task starts per second. limited is false without a quota.
 	rate    float64
 	limited bool
 	balance float64
-	// promisedStarts is the number of starts of refused callers that were told when to
-	// retry.
+	// promisedStarts is the number of starts that refused callers will request again after
+	// their Retry-After.
 	promisedStarts float64
 	refilledAt     time.Duration
 	// demand is the number of starts requested since the last CollectDemand.
--- a/quota/share.go
+++ b/quota/share.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// equalFraction is the fraction of a limit that is divided equally regardless of demand,
+// equalFraction is the fraction of a limit that the entries divide equally regardless of demand,
 // so that an entry without demand so far can start tasks at once.
 const equalFraction = 0.2
 
@@ -153,5 +153,5 @@
 // Reported returns the demand to report to the peers.
 func (d *Demand) Reported() float64 { return d.reported }
 
-// Delayed returns the demand that has been reported to the peers for one period.
+// Delayed returns the demand that the entry has reported to its peers for one period.
 func (d *Demand) Delayed() float64 { return d.delayed }
--- a/slot/doc.go
+++ b/slot/doc.go
@@ -5,5 +5,5 @@
 // agree without exchanging messages. Views can differ for some seconds after a failure.
 // The worst result is that a worker refuses a task for which it has no slot.
 //
-// Ledger records, for a lender, which slots of its share are lent to peers for a term.
+// Ledger records, for a lender, which slots of its share it has lent to peers for a term.
 package slot
--- a/slot/ledger.go
+++ b/slot/ledger.go
@@ -59,7 +59,7 @@
 // Total returns how many slots are lent.
 func (l *Ledger) Total() int { return l.total }
 
-// Lend records a loan whose request was received at now, and returns its ID.
+// Lend records a loan whose request the lender received at now, and returns its ID.
 func (l *Ledger) Lend(now time.Duration, b Borrower, slots []WorkerSlots, term time.Duration) LoanID {
 	l.lastID++
 	until := now + term
--- a/submission/predecessors.go
+++ b/submission/predecessors.go
@@ -23,7 +23,7 @@
 	// Window is the time after minting within which an identifier of the predecessor had
 	// to be used first.
 	Window time.Duration
-	// KeepFor is the time for which the predecessor must still be remembered.
+	// KeepFor is the time for which a successor must still remember the predecessor.
 	KeepFor time.Duration
 }
 
@@ -40,9 +40,9 @@
 	// process's clock.
 	clockAhead time.Duration
 	window     time.Duration
-	// forgetAfter is the time after which the predecessor may be forgotten.
+	// forgetAfter is the time after which Add may delete the state.
 	forgetAfter time.Duration
-	// complete is set once all records of the predecessor have been taken over.
+	// complete is set once this process has taken over all records of the predecessor.
 	complete bool
 }
 
--- a/submission/table.go
+++ b/submission/table.go
@@ -35,8 +35,8 @@
 type Record struct {
 	ID   string
 	Team string
-	// Digest is the digest of the request's body. Another body under the same identifier
-	// is refused.
+	// Digest is the digest of the request's body. The table refuses another body under
+	// the same identifier.
 	Digest Digest
 
 	// canceledEarly is set when the submission was canceled before its request arrived.
@@ -48,8 +48,8 @@
 	keepUntil time.Duration
 }
 
-// MintedAt returns the time at which the identifier was minted, or 0 for a record that
-// was taken over.
+// MintedAt returns the time at which this process minted the identifier, or 0 for a record
+// that it took over.
 func (r *Record) MintedAt() time.Duration { return r.mintedAt }
 
 // Done returns a channel that is closed once the submission has ended.
@@ -110,14 +110,14 @@
 }
 
 // Begin returns the record of a verified identifier and creates it if it is missing. first
-// reports that it was created: the caller then has the right to start the tasks of the
+// reports that Begin created it: the caller then has the right to start the tasks of the
 // submission and must call End. If the request of a record ended with BadRequest, a
 // request with another body replaces the record.
 //
 // Errors: IdentifierReused (NotRun) for another body under the identifier;
 // IdentifierExpired (MayHaveRun) if there is no record and the window is over;
-// AnswersFull (MayHaveRun) when the kept answers have reached MaxBytes: nothing is
-// recorded, so a late copy of the request may still be accepted; Stopping (NotRun) after
+// AnswersFull (MayHaveRun) when the kept answers have reached MaxBytes: Begin then records
+// nothing, so a late copy of the request may still be accepted; Stopping (NotRun) after
 // Seal.
 func (t *Table) Begin(id ID, team string, digest Digest, now time.Duration) (r *Record, first bool, err *verdict.Failure) {
 	text := id.String()
@@ -161,7 +161,7 @@
 // shard's lock.
 func (t *Table) create(s *tableShard, id ID, team string, digest Digest, now time.Duration) (*Record, bool, *verdict.Failure) {
 	// Without this check, a late copy of a request would start the tasks again once the
-	// record has been dropped. A record is kept until the window is over, so a late copy
+	// table has dropped the record. It keeps a record until the window is over, so a copy
 	// finds either the record or an expired identifier. The verdict is MayHaveRun because
 	// an earlier request may have run and its record may have been dropped. With NotRun
 	// the caller would submit the same work again.
