--- a/sched/borrow.go
+++ b/sched/borrow.go
@@ -1,5 +1,8 @@
 package sched
 
+// This file implements the borrower's side of slot loans: which slots the entry requests
+// from which peer, and when it extends, uses and returns them.
+
 import (
 	"slices"
 	"time"
@@ -7,7 +10,7 @@
 	"github.com/lavendercleat/lavendercleat/slot"
 )
 
-// Peer is another entry, one process of it.
+// Peer identifies one process of another entry.
 type Peer struct {
 	// Address is the IP:port of its peer interface.
 	Address     string
@@ -15,46 +18,50 @@
 	Domain      string
 }
 
-// peer is a peer with what it has to lend.
+// peer is a peer with the slots that it can lend and the loans taken from it.
 type peer struct {
 	Peer
-	// free is how many slots it could lend by its latest word, less what was asked
-	// for since. A peer without any is not asked.
-	free int
-	// wants is set while the peer lacks slots that this entry did not have.
-	wants bool
-	// asking is set while a request is under way: one at a time per peer.
-	asking bool
-	// loans are those borrowed from the peer.
+	// lendable is the number of slots that the peer last reported as lendable, minus
+	// those that this entry has requested since. The entry does not ask a peer without
+	// lendable slots.
+	lendable int
+	// needsSlots is set while the peer lacks slots that this entry could not lend.
+	needsSlots bool
+	// requestPending is set while a request to the peer is in flight. At most one
+	// request per peer is in flight.
+	requestPending bool
+	// loans are the loans taken from the peer.
 	loans []*loan
 }
 
-// loan is borrowed slots as the borrower sees them.
+// loan is one loan from the borrower's point of view.
 type loan struct {
 	id    slot.LoanID
 	until time.Duration
 	ended bool
-	// recalled is set once the lender wants the slots back.
+	// recalled is set once the lender has asked for the slots back.
 	recalled bool
-	// term is that of the first request.
+	// term is the term of the first request.
 	term time.Duration
-	// extending is set while an extension is asked for, and stays set when the lender
-	// declined, so that it is not asked again.
-	extending bool
-	grants    []*grant
+	// extensionRequested is set while an extension request is in flight. It stays set if
+	// the lender declines, so that the entry does not ask again.
+	extensionRequested bool
+	grants             []*grant
 }
 
 const (
-	// tailsPerTerm is how many of the kind's long tasks a term should hold.
+	// tailsPerTerm is the number of tail run times of a kind that fit into a loan term.
 	tailsPerTerm = 4
-	// extendBelow is the part of a term below which a loan in use is extended, and
-	// extendWith that below which others of the same peer go along.
-	extendBelow = 0.5
-	extendWith  = 0.75
+	// extendBelow is the fraction of its term below which a loan in use is due for
+	// extension. A request to the same peer also extends the loans in use that are
+	// below extendAlsoBelow.
+	extendBelow     = 0.5
+	extendAlsoBelow = 0.75
 )
 
-// SetPeers replaces the list of live peers. Nothing starts any more on slots borrowed
-// from a peer that is gone or was replaced: the survivors divide them anew.
+// SetPeers replaces the list of live peers. The scheduler starts no more tasks on slots
+// borrowed from a peer that is no longer in the list, or is there with a new incarnation,
+// because the remaining entries divide that peer's slots among themselves.
 func (s *Scheduler) SetPeers(now time.Duration, list []Peer) {
 	old := s.peers
 	s.peers = nil
@@ -77,22 +84,24 @@
 	s.schedule(now)
 }
 
-// SetPeerFree takes in how many slots a peer says it could lend, and how many it lacks.
-func (s *Scheduler) SetPeerFree(now time.Duration, p Peer, free, wanted int) {
+// SetPeerFree stores how many slots a peer reports that it could lend, and how many it
+// lacks.
+func (s *Scheduler) SetPeerFree(now time.Duration, p Peer, lendable, missing int) {
 	o := s.peer(p)
 	if o == nil {
 		return
 	}
-	o.wants = wanted > 0
-	if o.asking {
-		return // the answer is newer
+	o.needsSlots = missing > 0
+	if o.requestPending {
+		return // the pending answer will be newer than this report
 	}
-	o.free = free
-	if free > 0 && s.waiting > 0 {
+	o.lendable = lendable
+	if lendable > 0 && s.waiting > 0 {
 		s.schedule(now)
 	}
 }
 
+// peer returns the state of a live peer, or nil for an unknown one.
 func (s *Scheduler) peer(p Peer) *peer {
 	i := slices.IndexFunc(s.peers, func(o *peer) bool { return o.Peer == p })
 	if i < 0 {
@@ -105,84 +114,88 @@
 	return slices.ContainsFunc(s.peers, func(p *peer) bool { return p.Domain == domain })
 }
 
-// borrow asks peers for the slots that waiting tasks lack: those of the own failure
-// domain first, then those with the most free slots. Only peers that said they have
-// some are asked.
+// borrow requests the slots that waiting tasks lack. It asks peers of this entry's
+// failure domain first, then the peers with the most lendable slots. It asks only peers
+// that reported lendable slots.
 func (s *Scheduler) borrow(now time.Duration) {
-	if s.config.Policy != Shares || !s.peersFree() {
+	if s.config.Policy != Shares || !s.anyPeerLendable() {
 		return
 	}
 	for _, k := range s.kindList {
-		want := k.room() - k.asked
-		for want > 0 {
-			p := s.lender(k)
+		missing := k.startable() - k.requested
+		for missing > 0 {
+			p := s.bestLender(k)
 			if p == nil {
 				break
 			}
-			n := min(want, p.free)
-			s.ask(now, p, k, n)
-			want -= n
+			n := min(missing, p.lendable)
+			s.requestSlots(now, p, k, n)
+			missing -= n
 		}
 	}
 }
 
-func (s *Scheduler) peersFree() bool {
-	return slices.ContainsFunc(s.peers, func(p *peer) bool { return p.free > 0 && !p.asking })
+func (s *Scheduler) anyPeerLendable() bool {
+	return slices.ContainsFunc(s.peers, func(p *peer) bool { return p.lendable > 0 && !p.requestPending })
 }
 
-// lender returns the peer to ask first, nil when none has anything.
-func (s *Scheduler) lender(k *kind) *peer {
+// bestLender returns the peer to ask first for slots for a kind, or nil when no peer has
+// any.
+func (s *Scheduler) bestLender(k *kind) *peer {
 	var best *peer
 	for _, p := range s.peers {
-		if p.free <= 0 || p.asking || !allows(k.domains, p.Domain) {
+		if p.lendable <= 0 || p.requestPending || !allows(k.domains, p.Domain) {
 			continue
 		}
-		if best == nil || s.closer(p, best) {
+		if best == nil || s.preferred(p, best) {
 			best = p
 		}
 	}
 	return best
 }
 
-func (s *Scheduler) closer(a, b *peer) bool {
+// preferred reports whether the entry asks peer a before peer b.
+func (s *Scheduler) preferred(a, b *peer) bool {
 	if near := a.Domain == s.config.Domain; near != (b.Domain == s.config.Domain) {
 		return near
 	}
-	return a.free > b.free
+	return a.lendable > b.lendable
 }
 
-// term returns the term of a loan for a kind.
-func (s *Scheduler) term(k *kind) time.Duration {
+// loanTerm returns the term to request for a loan that serves a kind.
+func (s *Scheduler) loanTerm(k *kind) time.Duration {
 	return min(max(s.config.LoanTerm, tailsPerTerm*k.times.tail), s.config.MaxLoanTerm)
 }
 
-// ask requests slots, and with the same message the extension of loans that need it.
-func (s *Scheduler) ask(now time.Duration, p *peer, k *kind, n int) {
-	b := Borrow{Peer: p.Peer, Slots: n, Term: s.term(k), Sent: now, Needs: k.needs, kind: k}
+// requestSlots asks a peer for n slots. The same message asks for the extension of
+// that peer's loans that need it.
+func (s *Scheduler) requestSlots(now time.Duration, p *peer, k *kind, n int) {
+	b := Borrow{Peer: p.Peer, Slots: n, Term: s.loanTerm(k), Sent: now, Needs: k.needs, kind: k}
 	b.Extend = p.extensions(now)
-	p.free -= n
-	p.asking = true
-	k.asked += n
+	p.lendable -= n
+	p.requestPending = true
+	k.requested += n
 	s.ready.Borrows = append(s.ready.Borrows, b)
 }
 
-// extensions returns the loans of a peer that are in use and should last longer.
+// extensions returns the peer's loans that are in use and due for extension, and marks
+// them as requested.
 func (p *peer) extensions(now time.Duration) []slot.LoanID {
 	var ids []slot.LoanID
 	for _, l := range p.loans {
-		if !l.extending && l.running() > 0 && l.left(now) < part(l.term, extendWith) {
-			l.extending = true
+		if !l.extensionRequested && l.running() > 0 && l.remaining(now) < fraction(l.term, extendAlsoBelow) {
+			l.extensionRequested = true
 			ids = append(ids, l.id)
 		}
 	}
 	return ids
 }
 
-func part(term time.Duration, of float64) time.Duration {
+func fraction(term time.Duration, of float64) time.Duration {
 	return time.Duration(of * float64(term))
 }
 
-func (l *loan) left(now time.Duration) time.Duration { return l.until - now }
+func (l *loan) remaining(now time.Duration) time.Duration { return l.until - now }
 
 func (l *loan) running() int {
 	n := 0
@@ -192,92 +205,94 @@
 	return n
 }
 
-// LendReply is a lender's answer to Borrow.
+// LendReply is a lender's answer to a Borrow.
 type LendReply struct {
 	slot.Loan
-	// Extended are the loans that now last for the requested term, Recalled those of
-	// them on which nothing new may start.
+	// Extended are the loans that the lender extended by the requested term. Recalled
+	// are those of them on which the borrower must start no further task.
 	Extended []slot.LoanID
 	Recalled []slot.LoanID
-	// Free is how many slots the lender could still lend.
+	// Free is the number of slots that the lender could still lend.
 	Free int
 }
 
-// HandleLendReply takes in the answer to a Borrow, nil when there was none. The term counts
-// from the decision to ask, so a late answer only shortens it.
-func (s *Scheduler) HandleLendReply(now time.Duration, b Borrow, answer *LendReply) {
+// HandleLendReply processes a peer's answer to a Borrow; reply is nil when the peer did
+// not answer. The loan term counts from the time of the decision to ask, so a late
+// answer leaves less of the term.
+func (s *Scheduler) HandleLendReply(now time.Duration, b Borrow, reply *LendReply) {
 	if b.kind != nil {
-		b.kind.asked -= b.Slots
+		b.kind.requested -= b.Slots
 	}
 	p := s.peer(b.Peer)
 	if p == nil {
-		return // the peer is gone, and what it lent is divided anew
+		return // SetPeers removed the peer; the remaining entries divide the slots that it lent
 	}
-	p.asking = false
-	s.extended(p, b, answer)
-	if answer == nil {
-		p.free = 0
+	p.requestPending = false
+	s.applyExtensions(p, b, reply)
+	if reply == nil {
+		p.lendable = 0
 		return
 	}
-	p.free = answer.Free
-	if len(answer.Slots) > 0 && now < b.Sent+b.Term {
-		s.addLoan(now, p, answer.Loan, b)
+	p.lendable = reply.Free
+	if len(reply.Slots) > 0 && now < b.Sent+b.Term {
+		s.addLoan(now, p, reply.Loan, b)
 	}
 	s.schedule(now)
 }
 
-// extended takes in which extensions were granted.
-func (s *Scheduler) extended(p *peer, b Borrow, answer *LendReply) {
+// applyExtensions prolongs the loans that the lender extended.
+func (s *Scheduler) applyExtensions(p *peer, b Borrow, reply *LendReply) {
 	for _, l := range p.loans {
 		if !slices.Contains(b.Extend, l.id) {
 			continue
 		}
-		if answer != nil && slices.Contains(answer.Extended, l.id) {
-			l.extending = false
+		if reply != nil && slices.Contains(reply.Extended, l.id) {
+			l.extensionRequested = false
 			l.until = max(l.until, b.Sent+b.Term)
-			if slices.Contains(answer.Recalled, l.id) {
-				s.recall(l)
+			if slices.Contains(reply.Recalled, l.id) {
+				s.recallLoan(l)
 			}
 		}
 	}
 }
 
-// recall stops starts on a loan's slots; each goes back once its task has ended.
-func (s *Scheduler) recall(l *loan) {
+// recallLoan stops starting tasks on a loan's slots. The entry returns each slot
+// once its task has ended.
+func (s *Scheduler) recallLoan(l *loan) {
 	l.recalled = true
 	for _, g := range l.grants {
-		s.placeGrant(g)
+		s.reindexGrant(g)
 	}
 }
 
-// addLoan makes borrowed slots usable.
+// addLoan makes the slots of a new loan usable.
 func (s *Scheduler) addLoan(now time.Duration, p *peer, from slot.Loan, b Borrow) {
 	l := &loan{id: from.ID, until: b.Sent + b.Term, term: b.Term}
 	for _, ws := range from.Slots {
 		w := s.workers[ws.Worker]
 		if w == nil || ws.Slots <= 0 {
-			continue // unknown here: the slot stays idle until the end of the term
+			continue // unknown worker: the slot stays idle until the loan's term ends
 		}
 		g := &grant{worker: w, slots: ws.Slots, loan: l, idleSince: now}
 		l.grants = append(l.grants, g)
 		w.borrowed = append(w.borrowed, g)
-		s.placeGrant(g)
+		s.reindexGrant(g)
 	}
 	p.loans = append(p.loans, l)
 }
 
-// endLoan stops starts on a loan's slots.
+// endLoan stops starting tasks on a loan's slots.
 func (s *Scheduler) endLoan(l *loan) {
 	l.ended = true
 	for _, g := range l.grants {
-		s.placeGrant(g)
+		s.reindexGrant(g)
 		g.worker.borrowed = slices.DeleteFunc(g.worker.borrowed, func(o *grant) bool { return o == g })
 	}
 }
 
-// tendLoans ends loans whose term is over, extends those in use and gives back slots
-// that stayed idle.
-func (s *Scheduler) tendLoans(now time.Duration) {
+// maintainLoans ends loans whose term is over, returns slots that stayed idle and asks
+// for the extension of loans in use.
+func (s *Scheduler) maintainLoans(now time.Duration) {
 	for _, p := range s.peers {
 		if len(p.loans) == 0 {
 			continue
@@ -287,71 +302,72 @@
 				s.endLoan(l)
 			}
 		}
-		s.giveBack(now, p)
+		s.returnAfterIdle(now, p)
 		p.loans = slices.DeleteFunc(p.loans, func(l *loan) bool { return l.ended })
 		s.extend(now, p)
 	}
 }
 
-// extend asks a peer to let loans that are in use last longer.
+// extend asks a peer to extend loans that are in use and close to their end.
 func (s *Scheduler) extend(now time.Duration, p *peer) {
 	due := slices.ContainsFunc(p.loans, func(l *loan) bool {
-		return !l.extending && l.running() > 0 && l.left(now) < part(l.term, extendBelow)
+		return !l.extensionRequested && l.running() > 0 && l.remaining(now) < fraction(l.term, extendBelow)
 	})
-	if !due || p.asking {
+	if !due || p.requestPending {
 		return
 	}
 	b := Borrow{Peer: p.Peer, Term: s.config.LoanTerm, Sent: now, Extend: p.extensions(now)}
-	p.asking = true
+	p.requestPending = true
 	s.ready.Borrows = append(s.ready.Borrows, b)
 }
 
-// giveBack returns a peer's idle slots, all in one message once one of them has been
-// idle for long enough.
-func (s *Scheduler) giveBack(now time.Duration, p *peer) {
+// returnAfterIdle returns all idle slots of a peer in one message, once one of them has
+// been idle for long enough.
+func (s *Scheduler) returnAfterIdle(now time.Duration, p *peer) {
 	due := slices.ContainsFunc(p.loans, func(l *loan) bool {
-		return !l.ended && l.idleTooLong(now, s.config.ReturnAfter)
+		return !l.ended && l.idleTooLong(now, s.config.ReturnIdleAfter)
 	})
 	if due {
 		s.returnIdle(p)
 	}
 }
 
-// idleTooLong tells whether a slot of the loan has been idle for long enough.
+// idleTooLong reports whether the loan has a slot to return: one that has been idle for
+// the given time, or any idle slot of a recalled loan.
 func (l *loan) idleTooLong(now, after time.Duration) bool {
 	return slices.ContainsFunc(l.grants, func(g *grant) bool {
 		return g.slots > g.running && (l.recalled || now-g.idleSince >= after)
 	})
 }
 
-// returnIdle returns all idle slots of a peer.
+// returnIdle returns all idle slots borrowed from a peer.
 func (s *Scheduler) returnIdle(p *peer) {
 	var parts []slot.Loan
 	for _, l := range p.loans {
 		if l.ended {
 			continue
 		}
-		if idle := s.takeIdle(l); len(idle) > 0 {
+		if idle := s.removeIdle(l); len(idle) > 0 {
 			parts = append(parts, slot.Loan{ID: l.id, Slots: idle})
 		}
 	}
 	s.ready.Returns = append(s.ready.Returns, ReturnSlots{Peer: p.Peer, Loans: parts})
 }
 
-// takeIdle takes the idle slots out of a loan and returns, for the workers of those,
-// how many slots are kept.
-func (s *Scheduler) takeIdle(l *loan) []slot.WorkerSlots {
+// removeIdle removes the idle slots from a loan. For each worker with idle slots it
+// returns how many slots the loan keeps there.
+func (s *Scheduler) removeIdle(l *loan) []slot.WorkerSlots {
 	var idle []slot.WorkerSlots
-	left := 0
+	kept := 0
 	for _, g := range l.grants {
 		if n := g.slots - g.running; n > 0 {
 			g.slots -= n
-			s.placeGrant(g)
+			s.reindexGrant(g)
 			idle = append(idle, slot.WorkerSlots{Worker: g.worker.Address, Slots: g.slots})
 		}
-		left += g.slots
+		kept += g.slots
 	}
-	if left == 0 {
+	if kept == 0 {
 		s.endLoan(l)
 	}
 	return idle
--- a/sched/health.go
+++ b/sched/health.go
@@ -1,5 +1,8 @@
 package sched
 
+// This file tracks the health of workers: backoff after refusals, ejection after failures,
+// and the detection of stragglers.
+
 import (
 	"time"
 
@@ -7,72 +10,78 @@
 )
 
 const (
-	// probeRefusals is the number of refusals in a row after which a worker gets one
-	// task at a time.
-	probeRefusals = 3
-	// provenBy is the number of good runs after which a worker on probation gets its
-	// full load again.
-	provenBy = 3
-	// slowWeight is the weight of one run in a worker's speed.
-	slowWeight = 0.1
-	// slowRuns is the number of runs from which a worker's speed is relied on.
-	slowRuns = 10
-	// slowProbe is the first time between two tasks that show whether a straggler has
-	// recovered; it doubles up to maxSlowProbe.
-	slowProbe    = 2 * time.Second
-	maxSlowProbe = 30 * time.Second
-	// maxRatio bounds the effect of one run on a worker's speed.
-	maxRatio = 10
-	// failWeight is the weight of one run in a worker's failure rate, ejectRate the
-	// rate at which it is ejected even though some tasks end well.
-	failWeight = 0.1
-	ejectRate  = 0.5
-	// maxWithhold is the longest time for which a slot is left idle after a refusal.
+	// refusalsBeforeProbing is the number of refusals in a row after which a worker gets
+	// one task at a time.
+	refusalsBeforeProbing = 3
+	// recoveryRuns is the number of successful runs after which a worker on probation
+	// gets its full load again.
+	recoveryRuns = 3
+	// slowdownWeight is the weight of one run in a worker's slowdown.
+	slowdownWeight = 0.1
+	// minSlowdownRuns is the number of runs from which the scheduler uses a worker's
+	// slowdown.
+	minSlowdownRuns = 10
+	// stragglerProbeInterval is the first interval between tasks that test whether a
+	// straggler has recovered. The interval doubles up to maxStragglerProbeInterval.
+	stragglerProbeInterval    = 2 * time.Second
+	maxStragglerProbeInterval = 30 * time.Second
+	// maxSlowdown bounds the effect of one run on a worker's slowdown.
+	maxSlowdown = 10
+	// failRateWeight is the weight of one run in a worker's failure rate. The
+	// scheduler ejects a worker above ejectFailRate even though some of its tasks succeed.
+	failRateWeight = 0.1
+	ejectFailRate  = 0.5
+	// maxWithhold bounds the time for which a slot is withheld after a refusal.
 	maxWithhold = time.Second
-	// blameTail is how many times the tail of a kind's run times a task may take
-	// before a timeout is the worker's fault and not that of a short deadline.
-	blameTail = 3
+	// blameTailFactor times the tail run time of the kind is the run time from which the
+	// scheduler blames a timeout on the worker, and not on a short deadline.
+	blameTailFactor = 3
 )
 
-// health is what a worker's answers tell of it.
+// health is what the outcomes of a worker's tasks say about the worker.
 type health struct {
-	// refusals and failures count those in a row.
+	// refusals and failures count consecutive refusals and failures.
 	refusals int
 	failures int
-	// failRate is the moving rate of failures.
+	// failRate is the moving average of the failure rate.
 	failRate float64
-	// withheld counts slots that are left idle for a while after refusals of a worker
-	// that runs other tasks: someone else's task still holds the slot. fullRefusals
-	// counts such refusals since the worker last ran as many tasks as it should.
+	// withheld is the number of slots that are left idle for a while, because the worker
+	// refused a task although it runs others: a task that this entry does not know of
+	// occupies the slot. busyRefusals counts such refusals since a task last succeeded
+	// that had taken the last free slot.
 	withheld     int
-	fullRefusals int
-	// paused is set for a pause after a refusal, ejected after too many failures.
-	paused  bool
-	ejected bool
-	// ejections counts them; it falls when the worker proves itself.
+	busyRefusals int
+	// backingOff is set for the backoff after a refusal, ejected after too many failures.
+	backingOff bool
+	ejected    bool
+	// ejections counts the ejections. It decreases when the worker completes a probation.
 	ejections int
-	// probation counts the good runs that are still wanted after an ejection.
+	// probation is the number of successful runs that the worker still needs after an
+	// ejection.
 	probation int
-	// speed is the moving mean of run times relative to those of the kind.
-	speed float64
-	runs  int
-	slow  bool
-	// probeAt is when a straggler gets a task to show whether it has recovered.
-	probeAt   time.Duration
-	probeWait time.Duration
+	// slowdown is the moving average of run times relative to the mean of the kind
+	// (1 = as fast as the mean), runs the number of runs in it. straggler is set
+	// while the worker counts as a straggler.
+	slowdown  float64
+	runs      int
+	straggler bool
+	// probeAt is when a straggler gets the next task that tests whether it has recovered.
+	probeAt       time.Duration
+	probeInterval time.Duration
 }
 
-// probing tells whether the worker gets one task at a time.
-func (h *health) probing() bool { return h.probation > 0 || h.refusals >= probeRefusals }
+// probing reports whether the worker gets one task at a time.
+func (h *health) probing() bool { return h.probation > 0 || h.refusals >= refusalsBeforeProbing }
 
-// ranWell takes in a good run; full tells whether it had the worker's last free slot.
-func (s *Scheduler) ranWell(now time.Duration, w *worker, k *kind, took time.Duration, full bool) {
-	k.note(w.Address, false)
+// recordSuccess records a successful run. tookLastSlot reports whether the task had taken
+// the worker's last free slot.
+func (s *Scheduler) recordSuccess(now time.Duration, w *worker, k *kind, took time.Duration, tookLastSlot bool) {
+	k.recordResult(w.Address, false)
 	w.refusals, w.failures = 0, 0
-	if full {
-		w.fullRefusals = 0
+	if tookLastSlot {
+		w.busyRefusals = 0
 	}
-	w.failRate -= failWeight * w.failRate
+	w.failRate -= failRateWeight * w.failRate
 	if w.probation > 0 {
 		w.probation--
 		if w.probation == 0 {
@@ -80,63 +89,66 @@
 		}
 	}
 	if k.times.learned() {
-		s.measure(now, w, float64(took)/float64(k.times.mean))
+		s.recordSlowdown(now, w, float64(took)/float64(k.times.mean))
 	}
 	k.times.add(took)
 }
 
-// measure takes in how long a run took relative to the kind's mean.
-func (s *Scheduler) measure(now time.Duration, w *worker, ratio float64) {
+// recordSlowdown records the run time of a task relative to the mean of its kind, and
+// marks or unmarks the worker as a straggler.
+func (s *Scheduler) recordSlowdown(now time.Duration, w *worker, slowdown float64) {
 	w.runs++
-	weight := max(1/float64(w.runs), slowWeight)
-	w.speed += weight * (min(ratio, maxRatio) - w.speed)
-	slow := w.runs >= slowRuns && w.speed >= s.config.SlowFactor
-	if slow && !w.slow {
-		w.probeWait = slowProbe
-		w.probeAt = now + w.probeWait
+	weight := max(1/float64(w.runs), slowdownWeight)
+	w.slowdown += weight * (min(slowdown, maxSlowdown) - w.slowdown)
+	straggler := w.runs >= minSlowdownRuns && w.slowdown >= s.config.StragglerSlowdown
+	if straggler && !w.straggler {
+		w.probeInterval = stragglerProbeInterval
+		w.probeAt = now + w.probeInterval
 	}
-	w.slow = slow
+	w.straggler = straggler
 }
 
-// failed takes in a failure that may have run, and ejects the worker when it fails
-// nearly everything.
-func (s *Scheduler) failed(now time.Duration, w *worker, k *kind, took time.Duration, reason verdict.Reason) {
+// recordFailure records the failure of a task that may have run. It ejects a worker that
+// fails nearly everything.
+func (s *Scheduler) recordFailure(now time.Duration, w *worker, k *kind, took time.Duration, reason verdict.Reason) {
 	if reason == verdict.ReplyTooLarge || reason == verdict.Internal {
 		return
 	}
-	if reason == verdict.TaskTimeout && took < blameTail*k.times.tail {
+	if reason == verdict.TaskTimeout && took < blameTailFactor*k.times.tail {
 		return
 	}
-	k.note(w.Address, true)
+	k.recordResult(w.Address, true)
 	if k.suspect() {
 		return
 	}
 	w.refusals = 0
 	w.failures++
-	w.failRate += failWeight * (1 - w.failRate)
-	if w.failures >= s.config.EjectAfter || w.probation > 0 || w.failRate > ejectRate {
+	w.failRate += failRateWeight * (1 - w.failRate)
+	if w.failures >= s.config.EjectAfterFailures || w.probation > 0 || w.failRate > ejectFailRate {
 		s.eject(now, w)
 	}
 }
 
-// smallDomain is the number of workers below which a failure domain is too small to be
-// judged by itself.
-const smallDomain = 3
+// minDomainSize is the number of workers below which a failure domain is too small to
+// bound ejections by its own workers.
+const minDomainSize = 3
 
-// manyEjected tells whether one more ejection would leave less than half of a failure
-// domain's workers, or of all workers when the domain is small: its only worker would
-// never be ejected, and one that fails at once draws the tasks of the others.
-func (s *Scheduler) manyEjected(domain string) bool {
+// tooManyEjected reports whether one more ejection would leave less than half of the
+// failure domain's workers. For a small domain it counts all workers instead: otherwise
+// the scheduler could never eject the only worker of a domain, and a worker that fails at once
+// would attract the tasks of the others.
+func (s *Scheduler) tooManyEjected(domain string) bool {
 	all, ejected := s.countEjected(func(w *worker) bool { return w.Domain == domain })
-	if all < smallDomain {
+	if all < minDomainSize {
 		all, ejected = s.countEjected(func(*worker) bool { return true })
 	}
 	return 2*(ejected+1) > all
 }
 
-func (s *Scheduler) countEjected(of func(*worker) bool) (all, ejected int) {
-	for _, w := range s.list {
-		if !of(w) {
+// countEjected counts the workers that match, and the ejected ones among them.
+func (s *Scheduler) countEjected(match func(*worker) bool) (all, ejected int) {
+	for _, w := range s.workerList {
+		if !match(w) {
 			continue
 		}
 		all++
@@ -147,58 +159,60 @@
 	return all, ejected
 }
 
-// eject keeps a worker without tasks for a while, then on probation. Never more than
-// half of the workers (see manyEjected) are ejected: when most look bad, the cause lies elsewhere
-// and the rest could not carry the load.
+// eject gives a worker no tasks for a while and then puts it on probation. It never
+// ejects more than half of the workers (see tooManyEjected): when most workers fail, the
+// cause lies elsewhere, and the remaining workers could not carry the load.
 func (s *Scheduler) eject(now time.Duration, w *worker) {
-	if w.ejected || s.manyEjected(w.Domain) {
+	if w.ejected || s.tooManyEjected(w.Domain) {
 		return
 	}
-	d := min(s.config.EjectFor<<min(w.ejections, 16), s.config.MaxEject)
+	period := min(s.config.EjectDuration<<min(w.ejections, 16), s.config.MaxEjectDuration)
 	w.ejections++
 	w.ejected = true
 	w.failures, w.failRate = 0, 0
-	s.ready.Ejections = append(s.ready.Ejections, Ejection{Worker: w.Address, For: d})
-	s.after(now+d, func(time.Duration) {
+	s.ready.Ejections = append(s.ready.Ejections, Ejection{Worker: w.Address, For: period})
+	s.setTimer(now+period, func(time.Duration) {
 		w.ejected = false
-		w.probation = provenBy
-		s.place(w)
+		w.probation = recoveryRuns
+		s.reindex(w)
 	})
 }
 
-// refused takes in a refusal that did not run: the worker pauses, longer each time.
-func (s *Scheduler) refused(now time.Duration, w *worker, reason verdict.Reason) {
-	pause := s.config.RefusalPause
+// recordRefusal records a refusal that proves that the task did not run. The worker gets
+// no tasks for a backoff, which doubles with each refusal in a row.
+func (s *Scheduler) recordRefusal(now time.Duration, w *worker, reason verdict.Reason) {
+	backoff := s.config.RefusalBackoff
 	switch reason {
 	case verdict.DialFailed:
-		pause = s.config.DialPause
+		backoff = s.config.DialBackoff
 	case verdict.WorkerRefused:
 	default:
 		return
 	}
-	if w.paused {
-		return // of tasks that were already on their way
+	if w.backingOff {
+		return // the entry sent the task before the backoff began
 	}
 	if w.running > 1 && reason == verdict.WorkerRefused {
-		s.withhold(now, w)
+		s.withholdSlot(now, w)
 		return
 	}
-	pause = min(pause<<min(w.refusals, 16), s.config.MaxPause)
+	backoff = min(backoff<<min(w.refusals, 16), s.config.MaxBackoff)
 	w.refusals++
-	w.paused = true
-	s.after(now+pause, func(time.Duration) {
-		w.paused = false
-		s.place(w)
+	w.backingOff = true
+	s.setTimer(now+backoff, func(time.Duration) {
+		w.backingOff = false
+		s.reindex(w)
 	})
 }
 
-// withhold leaves one slot of a worker idle for a while, longer each time.
-func (s *Scheduler) withhold(now time.Duration, w *worker) {
-	pause := min(s.config.RefusalPause<<min(w.fullRefusals, 16), maxWithhold)
-	w.fullRefusals++
+// withholdSlot leaves one slot of a worker idle for a backoff, which doubles with each
+// such refusal.
+func (s *Scheduler) withholdSlot(now time.Duration, w *worker) {
+	backoff := min(s.config.RefusalBackoff<<min(w.busyRefusals, 16), maxWithhold)
+	w.busyRefusals++
 	w.withheld++
-	s.after(now+pause, func(time.Duration) {
+	s.setTimer(now+backoff, func(time.Duration) {
 		w.withheld--
-		s.place(w)
+		s.reindex(w)
 	})
 }
--- a/sched/kind.go
+++ b/sched/kind.go
@@ -2,82 +2,85 @@
 
 import "time"
 
-// kind is a kind of job with its load at this entry and what was learned about it.
+// kind is a kind of job: its tasks at this entry and what the scheduler learned from
+// earlier runs.
 type kind struct {
 	name string
-	// limit is the most tasks that may run at once; negative means no limit.
+	// limit is the maximum number of running tasks; negative means no limit.
 	limit   int
 	running int
-	// waiting counts the tasks that could start if there were slots.
+	// waiting is the number of tasks in the queues.
 	waiting int
-	// asked counts the slots in requests for a loan that were not answered yet.
-	asked int
-	times runTimes
-	// needs and domains are those of the latest job.
+	// requested is the number of slots in loan requests that peers have not answered yet.
+	requested int
+	times     runTimes
+	// needs and domains are those of the latest job of the kind.
 	needs   Resources
 	domains []string
-	// failed holds, for each worker that ran a task of the kind, whether the latest
-	// one failed; failing counts those.
-	failed  map[string]bool
-	failing int
+	// lastFailed holds, for each worker that ran a task of the kind, whether the latest
+	// one failed. failingWorkers counts the workers for which it did.
+	lastFailed     map[string]bool
+	failingWorkers int
 }
 
-// suspectWorkers is the number of workers from which failures can tell a bad kind
-// from a bad worker.
-const suspectWorkers = 3
+// minSuspectWorkers is the number of workers that must have run a kind before the
+// scheduler blames failures on the kind instead of a worker.
+const minSuspectWorkers = 3
 
-// room tells how many more tasks of the kind may start.
-func (k *kind) room() int {
+// startable returns how many waiting tasks of the kind may start within its limit.
+func (k *kind) startable() int {
 	if k.limit < 0 {
 		return k.waiting
 	}
 	return max(min(k.limit-k.running, k.waiting), 0)
 }
 
-// note remembers how a task of the kind ended on a worker.
-func (k *kind) note(worker string, failed bool) {
-	before := k.failed[worker]
-	k.failed[worker] = failed
+// recordResult records whether the latest task of the kind failed on a worker.
+func (k *kind) recordResult(worker string, failed bool) {
+	before := k.lastFailed[worker]
+	k.lastFailed[worker] = failed
 	switch {
 	case failed && !before:
-		k.failing++
+		k.failingWorkers++
 	case before && !failed:
-		k.failing--
+		k.failingWorkers--
 	}
 }
 
-// forget drops what is known of a worker.
-func (k *kind) forget(worker string) {
-	if k.failed[worker] {
-		k.failing--
+// forgetWorker drops the result recorded for a worker.
+func (k *kind) forgetWorker(worker string) {
+	if k.lastFailed[worker] {
+		k.failingWorkers--
 	}
-	delete(k.failed, worker)
+	delete(k.lastFailed, worker)
 }
 
-// suspect tells whether the kind itself seems to be at fault: it fails on most of the
-// workers that ran it. Ejecting those would leave no workers for the other kinds.
+// suspect reports whether the kind itself seems to be at fault, because its latest tasks
+// failed on most of the workers that ran it. Ejecting those workers would leave none for
+// the other kinds.
 func (k *kind) suspect() bool {
-	return len(k.failed) >= suspectWorkers && 2*k.failing > len(k.failed)
+	return len(k.lastFailed) >= minSuspectWorkers && 2*k.failingWorkers > len(k.lastFailed)
 }
 
-// kind returns the kind of a name, new ones without a limit.
-func (s *Scheduler) kind(name string, declared time.Duration) *kind {
+// kindByName returns the kind with a name. It creates a missing one, without a limit.
+func (s *Scheduler) kindByName(name string, declared time.Duration) *kind {
 	k := s.kinds[name]
 	if k == nil {
-		k = &kind{name: name, limit: -1, failed: make(map[string]bool), times: newRunTimes(declared)}
+		k = &kind{name: name, limit: -1, lastFailed: make(map[string]bool), times: newRunTimes(declared)}
 		s.kinds[name] = k
 		s.kindList = append(s.kindList, k)
 	}
 	return k
 }
 
-// kindOf returns the kind of a job with what the job says of it.
-func (s *Scheduler) kindOf(j *Job) *kind {
+// updateKind returns the kind of a job, updated with the needs, domains and run time that
+// the job declares.
+func (s *Scheduler) updateKind(j *Job) *kind {
 	declared := j.RunTime
 	if declared <= 0 {
 		declared = s.config.DefaultRunTime
 	}
-	k := s.kind(j.Kind, declared)
+	k := s.kindByName(j.Kind, declared)
 	if k.times.runs == 0 {
 		k.times = newRunTimes(declared)
 	}
@@ -85,15 +88,15 @@
 	return k
 }
 
-// SetKindLimits replaces the limits of kinds: the most tasks of a kind that this
-// entry may run at once. A kind that is left out has no limit. Tasks above a lowered
-// limit go on.
+// SetKindLimits replaces the limits of all kinds. A limit is the maximum number of tasks
+// of the kind that this entry may run at once. A kind that is left out has no limit.
+// Running tasks beyond a lowered limit continue.
 func (s *Scheduler) SetKindLimits(now time.Duration, limits map[string]int) {
 	for _, k := range s.kindList {
 		k.limit = -1
 	}
 	for name, n := range limits {
-		s.kind(name, s.config.DefaultRunTime).limit = max(n, 0)
+		s.kindByName(name, s.config.DefaultRunTime).limit = max(n, 0)
 	}
 	s.schedule(now)
 }
--- a/sched/pick.go
+++ b/sched/pick.go
@@ -1,8 +1,10 @@
 package sched
 
+// This file chooses the worker for the next task of a job.
+
 import "time"
 
-// anyFree tells whether any slot is free.
+// anyFree reports whether any slot is free.
 func (s *Scheduler) anyFree() bool {
 	if s.baseline() {
 		return true
@@ -15,18 +17,19 @@
 	return false
 }
 
-// baseline tells whether workers are chosen among all, whatever the shares.
+// baseline reports whether the policy chooses among all workers regardless of shares.
 func (s *Scheduler) baseline() bool {
 	return s.config.Policy == RandomWorker || s.config.Policy == TwoChoices
 }
 
-// pick returns where the next task of a job may start now, nil when it has to wait.
-// It takes the worker with the most free slots: own slots first, then borrowed ones
-// that are expected to last as long as the task, then stragglers where waiting for
-// another worker would take longer.
+// pick returns the grant on which the next task of a job may start now, or nil when the
+// task has to wait. Within a class it picks the worker with the most free slots. The
+// classes in order are: workers that get one task at a time, own slots, borrowed slots whose
+// loan outlasts the task's expected run, and stragglers if waiting for another worker would
+// take longer.
 func (s *Scheduler) pick(now time.Duration, j *job) *grant {
 	if s.baseline() {
-		return s.pickAny(j)
+		return s.pickBaseline(j)
 	}
 	times := &j.kind.times
 	if g := s.index[probeClass].best(now, j.Needs, j.Domains, 0); g != nil {
@@ -38,31 +41,31 @@
 	if g := s.index[borrowedClass].best(now, j.Needs, j.Domains, times.tail); g != nil {
 		return g
 	}
-	g := s.index[slowClass].best(now, j.Needs, j.Domains, times.tail)
-	if g == nil || !s.worthSlow(now, j, g.worker) {
+	g := s.index[stragglerClass].best(now, j.Needs, j.Domains, times.tail)
+	if g == nil || !s.worthStraggler(now, j, g.worker) {
 		return nil
 	}
 	return g
 }
 
-// worthSlow tells whether a straggler should run the job's next task: when it is time
-// to see whether it has recovered, or when the wait for another worker is expected to
-// be longer than what the straggler loses.
-func (s *Scheduler) worthSlow(now time.Duration, j *job, w *worker) bool {
+// worthStraggler reports whether a straggler should run the job's next task. It should if
+// a probe of the straggler is due, or if the expected wait for another worker exceeds the
+// extra run time on the straggler.
+func (s *Scheduler) worthStraggler(now time.Duration, j *job, w *worker) bool {
 	if now >= w.probeAt && w.running == 0 {
-		w.probeWait = min(2*w.probeWait, maxSlowProbe)
-		w.probeAt = now + w.probeWait
+		w.probeInterval = min(2*w.probeInterval, maxStragglerProbeInterval)
+		w.probeAt = now + w.probeInterval
 		return true
 	}
-	loss := w.speed - 1
-	if float64(s.waiting) > loss*float64(max(s.capacities.own, 1)) {
+	excess := w.slowdown - 1
+	if float64(s.waiting) > excess*float64(max(s.capacities.total, 1)) {
 		return true
 	}
-	return now-j.submitted > time.Duration(loss*float64(j.kind.times.mean))
+	return now-j.submittedAt > time.Duration(excess*float64(j.kind.times.mean))
 }
 
-// pickAny is the baselines' choice among all workers.
-func (s *Scheduler) pickAny(j *job) *grant {
+// pickBaseline chooses a worker for the baseline policies.
+func (s *Scheduler) pickBaseline(j *job) *grant {
 	a := s.randomGrant(j)
 	if s.config.Policy == RandomWorker || a == nil {
 		return a
@@ -74,16 +77,17 @@
 	return a
 }
 
-// randomGrant returns a random worker that may run the job, nil when there is none.
+// randomGrant returns the grant of a random worker that may run the job, or nil when
+// there is none.
 func (s *Scheduler) randomGrant(j *job) *grant {
-	n := len(s.list)
+	n := len(s.workerList)
 	if n == 0 {
 		return nil
 	}
 	at := s.random.IntN(n)
 	for i := range n {
-		w := s.list[(at+i)%n]
-		if w.usable() && !w.paused && !w.ejected && w.own.suits(j.Needs, j.Domains) && w.running < w.Total {
+		w := s.workerList[(at+i)%n]
+		if w.usable() && !w.backingOff && !w.ejected && w.own.suits(j.Needs, j.Domains) && w.running < w.Total {
 			return &w.own
 		}
 	}
--- a/sched/worker.go
+++ b/sched/worker.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Worker is a worker with the slots that this entry may use on it.
+// Worker describes a worker and the slots that this entry may use on it.
 type Worker struct {
 	// Address is the worker's IP:port.
 	Address string
 	Domain  string
 	// Slots is this entry's share of the worker's slots.
 	Slots int
-	// Total is the number of the worker's slots; only the baselines use it.
+	// Total is the number of all slots of the worker. Only the baseline policies use it.
 	Total     int
 	Resources Resources
-	// Drained workers get no new task.
+	// Drained workers get no new tasks.
 	Drained bool
 }
 
-// worker is a worker with its load and health.
+// worker is a worker with its grants, its load and its health.
 type worker struct {
 	Worker
 	own      grant
 	borrowed []*grant
 	running  int
-	// leaving is set once the worker itself, or a peer, said that it is leaving.
+	// leaving is set once the worker itself or a peer has reported that it is leaving.
 	leaving bool
-	// gone is set when the worker left the list while tasks were still running.
-	gone bool
+	// removed is set once SetWorkers no longer lists the worker. Its tasks may still run.
+	removed bool
 	health
 }
 
@@ -35,46 +35,46 @@
 	return n
 }
 
-// usable tells whether the worker may get work at all, now or later.
+// usable reports whether the worker may get tasks, now or after a backoff or ejection.
 func (w *worker) usable() bool {
-	return !w.Drained && !w.leaving && !w.gone
+	return !w.Drained && !w.leaving && !w.removed
 }
 
-// SetWorkers replaces the list of workers and this entry's shares. Tasks running on
-// a worker that is no longer listed go on. Pass workers that are still leaving as
-// Drained: the mark that SetLeaving or an outcome made ends here.
+// SetWorkers replaces the list of workers and this entry's shares. Tasks continue on a
+// worker that is no longer listed. Pass workers that are still leaving as Drained,
+// because SetWorkers clears the mark that SetLeaving or an outcome set.
 func (s *Scheduler) SetWorkers(now time.Duration, list []Worker) {
 	old := s.workers
 	s.workers = make(map[string]*worker, len(list))
-	s.list = s.list[:0]
+	s.workerList = s.workerList[:0]
 	for _, w := range list {
 		n := old[w.Address]
 		if n == nil {
-			n = newWorker(w, s.lent.Lent(w.Address))
+			n = newWorker(w, s.ledger.Lent(w.Address))
 		}
 		delete(old, w.Address)
 		n.Worker = w
 		n.leaving = false
 		n.own.slots = w.Slots
 		s.workers[w.Address] = n
-		s.list = append(s.list, n)
-		s.place(n)
+		s.workerList = append(s.workerList, n)
+		s.reindex(n)
 	}
 	for _, o := range old {
-		o.gone = true
-		s.place(o)
+		o.removed = true
+		s.reindex(o)
 		for _, k := range s.kindList {
-			k.forget(o.Address)
+			k.forgetWorker(o.Address)
 		}
 	}
 	s.capacities.stale = true
 	s.schedule(now)
 }
 
-// SetLeaving marks a worker that is leaving: it gets no new task.
+// SetLeaving marks a worker as leaving, so that it gets no new tasks.
 func (s *Scheduler) SetLeaving(address string) {
 	if w := s.workers[address]; w != nil {
 		w.leaving = true
-		s.place(w)
+		s.reindex(w)
 	}
 }
--- a/slot/ledger.go
+++ b/slot/ledger.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// LoanID names a loan at its lender.
+// LoanID identifies a loan at its lender.
 type LoanID uint64
 
 // WorkerSlots is a number of slots on one worker.
@@ -14,137 +14,141 @@
 	Slots  int
 }
 
-// Loan is a loan's slots, or the part of them that is meant.
+// Loan is a loan with all or some of its slots.
 type Loan struct {
 	ID    LoanID
 	Slots []WorkerSlots
 }
 
-// Borrower names the process that borrowed.
+// Borrower identifies the process that borrowed slots.
 type Borrower struct {
 	Address     string
 	Incarnation uint64
 }
 
-// Ledger is a lender's book of the slots that it lent. It is not safe for concurrent
-// use.
+// Ledger records the slots that a lender has lent. It is not safe for concurrent use.
 //
-// A term counts from when the lender received the request; the borrower counts the
-// same term from when it sent it, so the borrower stops first whatever the delay.
+// The lender counts the term from the receipt of the request, and the borrower counts the
+// same term from the sending. So the borrower stops using the slots before the lender
+// takes them back, whatever the message delay.
 type Ledger struct {
-	next  LoanID
-	loans map[LoanID]*lent
-	// slots counts the lent slots of each worker.
-	slots map[string]int
-	total int
-	// earliest is not after the end of any loan.
-	earliest time.Duration
+	lastID LoanID
+	loans  map[LoanID]*loanRecord
+	// lentByWorker is the number of lent slots of each worker.
+	lentByWorker map[string]int
+	total        int
+	// earliestEnd is a lower bound of the ends of all loans.
+	earliestEnd time.Duration
 }
 
-// lent is one loan as the lender sees it.
-type lent struct {
+// loanRecord is the lender's record of one loan.
+type loanRecord struct {
 	borrower Borrower
 	until    time.Duration
 	slots    []WorkerSlots
 }
 
-// NewLedger returns an empty book.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{loans: make(map[LoanID]*lent), slots: make(map[string]int)}
+	return &Ledger{loans: make(map[LoanID]*loanRecord), lentByWorker: make(map[string]int)}
 }
 
 // Lent returns how many slots of a worker are lent.
-func (l *Ledger) Lent(worker string) int { return l.slots[worker] }
+func (l *Ledger) Lent(worker string) int { return l.lentByWorker[worker] }
 
 // Total returns how many slots are lent.
 func (l *Ledger) Total() int { return l.total }
 
-// Lend records a loan received at now.
+// Lend records a loan whose request the lender received at now, and returns its ID.
 func (l *Ledger) Lend(now time.Duration, b Borrower, slots []WorkerSlots, term time.Duration) LoanID {
-	l.next++
+	l.lastID++
 	until := now + term
-	if len(l.loans) == 0 || until < l.earliest {
-		l.earliest = until
+	if len(l.loans) == 0 || until < l.earliestEnd {
+		l.earliestEnd = until
 	}
-	l.loans[l.next] = &lent{borrower: b, until: until, slots: slices.Clone(slots)}
+	l.loans[l.lastID] = &loanRecord{borrower: b, until: until, slots: slices.Clone(slots)}
 	for _, s := range slots {
-		l.add(s.Worker, s.Slots)
+		l.adjust(s.Worker, s.Slots)
 	}
-	return l.next
+	return l.lastID
 }
 
-func (l *Ledger) add(worker string, n int) {
+// adjust adds n to the number of lent slots of a worker.
+func (l *Ledger) adjust(worker string, n int) {
 	l.total += n
-	l.slots[worker] += n
-	if l.slots[worker] == 0 {
-		delete(l.slots, worker)
+	l.lentByWorker[worker] += n
+	if l.lentByWorker[worker] == 0 {
+		delete(l.lentByWorker, worker)
 	}
 }
 
-// Extend makes a loan last for another term from now; false when it has ended or is
-// another's. A late copy of the message leaves a slot idle at worst.
+// Extend prolongs a loan to at least one term from now. It returns false if the loan has
+// ended or belongs to another borrower. A late copy of the request can at worst leave a
+// slot idle.
 func (l *Ledger) Extend(now time.Duration, b Borrower, id LoanID, term time.Duration) bool {
-	n := l.loans[id]
-	if n == nil || n.borrower != b || n.until <= now {
+	record := l.loans[id]
+	if record == nil || record.borrower != b || record.until <= now {
 		return false
 	}
-	n.until = max(n.until, now+term)
+	record.until = max(record.until, now+term)
 	return true
 }
 
-// Return takes back slots before the end of the term and returns their workers. The
-// part says how many slots of each worker the borrower keeps, not how many it returns:
-// so a doubled, late or overtaken message returns nothing that is still in use.
+// Return takes back slots before the end of the term and returns the workers whose lent
+// slots changed. The part says how many slots of each worker the borrower keeps, not how
+// many it returns. So a duplicate, late or reordered message takes back no slot that is
+// still in use.
 func (l *Ledger) Return(b Borrower, part Loan) []string {
-	n := l.loans[part.ID]
-	if n == nil || n.borrower != b {
+	record := l.loans[part.ID]
+	if record == nil || record.borrower != b {
 		return nil
 	}
 	var changed []string
 	for _, s := range part.Slots {
-		if l.keep(n, s) {
+		if l.reduce(record, s) {
 			changed = append(changed, s.Worker)
 		}
 	}
-	if len(n.slots) == 0 {
+	if len(record.slots) == 0 {
 		delete(l.loans, part.ID)
 	}
 	return changed
 }
 
-// keep lets a loan keep at most some slots of one worker.
-func (l *Ledger) keep(n *lent, s WorkerSlots) bool {
-	i := slices.IndexFunc(n.slots, func(h WorkerSlots) bool { return h.Worker == s.Worker })
-	if i < 0 || s.Slots < 0 || s.Slots >= n.slots[i].Slots {
+// reduce lowers a loan's slots on one worker to those kept. It returns false if the loan
+// has no more slots there than that.
+func (l *Ledger) reduce(record *loanRecord, kept WorkerSlots) bool {
+	i := slices.IndexFunc(record.slots, func(h WorkerSlots) bool { return h.Worker == kept.Worker })
+	if i < 0 || kept.Slots < 0 || kept.Slots >= record.slots[i].Slots {
 		return false
 	}
-	count := n.slots[i].Slots - s.Slots
-	n.slots[i].Slots = s.Slots
-	if n.slots[i].Slots == 0 {
-		n.slots = slices.Delete(n.slots, i, i+1)
+	count := record.slots[i].Slots - kept.Slots
+	record.slots[i].Slots = kept.Slots
+	if record.slots[i].Slots == 0 {
+		record.slots = slices.Delete(record.slots, i, i+1)
 	}
-	l.add(s.Worker, -count)
+	l.adjust(kept.Worker, -count)
 	return true
 }
 
 // Expire ends the loans whose term is over and returns their workers.
 func (l *Ledger) Expire(now time.Duration) []string {
-	if len(l.loans) == 0 || now < l.earliest {
+	if len(l.loans) == 0 || now < l.earliestEnd {
 		return nil
 	}
 	var changed []string
 	first := true
-	for id, n := range l.loans {
-		if n.until <= now {
-			for _, s := range n.slots {
-				l.add(s.Worker, -s.Slots)
+	for id, record := range l.loans {
+		if record.until <= now {
+			for _, s := range record.slots {
+				l.adjust(s.Worker, -s.Slots)
 				changed = append(changed, s.Worker)
 			}
 			delete(l.loans, id)
 			continue
 		}
-		if first || n.until < l.earliest {
-			l.earliest = n.until
+		if first || record.until < l.earliestEnd {
+			l.earliestEnd = record.until
 			first = false
 		}
 	}
--- a/slot/share.go
+++ b/slot/share.go
@@ -6,16 +6,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Share returns how many of a worker's slots belong to self, one of the members of
-// the worker's failure domain. Every member gets the whole part of slots/len(members);
-// what is left over goes to the members that rank highest for this worker.
+// Share returns how many of a worker's slots belong to self, a member of the worker's
+// failure domain. Every member gets the integer part of slots/len(members). The members
+// that rank highest for this worker get one of the remaining slots each.
 func Share(worker string, slots int, members []netip.AddrPort, self netip.AddrPort) int {
 	n := len(members)
 	if n == 0 || slots <= 0 {
 		return 0
 	}
-	own := rank(worker, self)
-	above := 0
+	ownRank := rank(worker, self)
+	rankedAbove := 0
 	found := false
 	for _, m := range members {
 		if m == self {
@@ -23,21 +23,22 @@
 			continue
 		}
 		r := rank(worker, m)
-		if r > own || r == own && m.Compare(self) > 0 {
-			above++
+		if r > ownRank || r == ownRank && m.Compare(self) > 0 {
+			rankedAbove++
 		}
 	}
 	if !found {
 		return 0
 	}
 	share := slots / n
-	if above < slots%n {
+	if rankedAbove < slots%n {
 		share++
 	}
 	return share
 }
 
-// rank orders members per worker, so that left-over slots spread evenly.
+// rank returns a hash that orders the members differently for each worker, so that the
+// remaining slots spread evenly over the members (rendezvous hashing).
 func rank(worker string, member netip.AddrPort) uint64 {
 	var buf [64]byte
 	b := append(buf[:0], worker...)
