--- a/executor/backlog.go
+++ b/executor/backlog.go
@@ -29,28 +29,28 @@
 
 // Add adds a task.
 func (b *Backlog) Add(now time.Duration, t *task.Task) {
-	b[rank(now, t)] += t.Demand.MilliCPU * t.ExpectedRunTime.Milliseconds() / 1000
+	b[partIndex(now, t)] += t.Demand.MilliCPU * t.ExpectedRunTime.Milliseconds() / 1000
 }
 
 // Ahead is the work that is started before the task, if it came now.
 func (b *Backlog) Ahead(now time.Duration, t *task.Task) int64 {
 	var sum int64
-	for _, work := range b[:rank(now, t)+1] {
+	for _, work := range b[:partIndex(now, t)+1] {
 		sum += work
 	}
 	return sum
 }
 
 // rank is the part of a backlog that a task belongs to.
-func rank(now time.Duration, t *task.Task) int {
-	p := part(slack(now, t))
+func partIndex(now time.Duration, t *task.Task) int {
+	p := partOfSlack(slack(now, t))
 	if t.OverShare {
 		p += backlogParts
 	}
 	return p
 }
 
-func part(slack time.Duration) int {
+func partOfSlack(slack time.Duration) int {
 	for i, bound := range backlogBounds {
 		if slack < bound {
 			return i
--- a/executor/rooms.go
+++ b/executor/capacity.go
@@ -10,10 +10,10 @@
 // AppendWorkerCapacities appends what is left on each worker in use, and on those where runs are left.
 func (e *Executor) AppendWorkerCapacities(rooms []WorkerCapacity, now time.Duration) []WorkerCapacity {
 	for _, w := range e.order {
-		if w.told() {
+		if w.visible() {
 			rooms = append(rooms, WorkerCapacity{
-				Worker: w.info.ID, Service: w.info.Service, Domain: w.info.Domain, Free: w.free(), Total: w.info.Capacity,
-				Open: w.open(now), Usable: w.usable(), Slowdown: w.pace.ratio(), Epoch: w.tenure, Token: w.obeyed,
+				Worker: w.info.ID, Service: w.info.Service, Domain: w.info.Domain, Free: w.freeCapacity(), Total: w.info.Capacity,
+				Open: w.acceptsRuns(now), Usable: w.usable(), Slowdown: w.slowdown.reportedSlowdown(), Epoch: w.epoch, Token: w.epochToken,
 			})
 		}
 	}
--- a/executor/kept.go
+++ b/executor/durable.go
@@ -16,20 +16,20 @@
 	OrphanTimeout = 1200 * time.Millisecond
 	// unsettledPace is the time between polls of a worker that lists ends which may not be
 	// acknowledged yet: it doesn't hold such a poll back until something ends.
-	unsettledPace = 25 * time.Millisecond
+	unacknowledgedPollDelay = 25 * time.Millisecond
 	// endWait is how long an end is held as usual after its coordinator is lost: within
 	// this time an heir has adopted the job and recalled it, and no coordinator starts the
 	// task again; that one waits for 3.2 s from when it lost sight of this executor, which
 	// may be a second earlier.
-	endWait = 1900 * time.Millisecond
+	lostOwnerTimeout = 1900 * time.Millisecond
 	// settleWait is how long an end may wait to be settled before it is looked up whether
 	// its job has ended meanwhile.
-	settleWait = 2 * time.Second
+	confirmTimeout = 2 * time.Second
 )
 
 // heldEnd is an end that its coordinator, or the next one, has to store before the worker
 // may forget it: otherwise a task that is done would be started again after a power loss.
-type heldEnd struct {
+type unacknowledgedCompletion struct {
 	task.RunningTask
 	// lookUpAt is when it is looked up whether the job has ended.
 	lookUpAt time.Duration
@@ -40,21 +40,21 @@
 	// lookedUp: its job was found not to have ended.
 	lookedUp bool
 	// settled: it may be acknowledged.
-	settled bool
+	releasable bool
 	// found: it was listed at a takeover, and its job is not known to be kept.
-	found bool
+	foundAtTakeover bool
 	// owner is its coordinator, lostAt when that was lost; 0: it is there.
-	owner  member.Process
-	lostAt time.Duration
+	owner       member.Process
+	ownerLostAt time.Duration
 }
 
 // EventSettled tells that an end may be acknowledged, and why.
-const EventSettled = "end_settled"
+const EventCompletionReleased = "end_settled"
 
 // knownTo reports whether a coordinator was told of the end and has been there since: one that
 // was not may have started the task again after it.
-func (h heldEnd) knownTo(owner member.Process) bool {
-	return h.owner == owner && h.lostAt == 0 && !h.late
+func (h unacknowledgedCompletion) knownTo(owner member.Process) bool {
+	return h.owner == owner && h.ownerLostAt == 0 && !h.late
 }
 
 // JobState is what the store shows of a job whose end is held.
@@ -71,26 +71,26 @@
 )
 
 // holdEnd holds the end of a kept run back.
-func (e *Executor) holdEnd(now time.Duration, w *worker, r *run, f Completion) {
+func (e *Executor) holdCompletion(now time.Duration, w *worker, r *run, f Completion) {
 	switch {
 	case r.task == nil:
-		e.holdFound(now, w, f)
-	case r.task.Durable && !r.discard && (f.Done || f.Failed):
-		w.unsettled[f.Number] = heldEnd{RunningTask: f.RunningTask, lookUpAt: now + settleWait, owner: r.owner, lostAt: r.orphanedAt}
+		e.holdFoundCompletion(now, w, f)
+	case r.task.Durable && !r.discarded && (f.Done || f.Failed):
+		w.unacknowledged[f.Number] = unacknowledgedCompletion{RunningTask: f.RunningTask, lookUpAt: now + confirmTimeout, owner: r.owner, ownerLostAt: r.orphanedAt}
 	}
 }
 
 // holdFound holds back an end that was listed at a takeover: nobody here knows yet whether
 // its job is kept, so that is looked up at once.
-func (e *Executor) holdFound(now time.Duration, w *worker, f Completion) {
+func (e *Executor) holdFoundCompletion(now time.Duration, w *worker, f Completion) {
 	if f.Done || f.Failed {
-		w.unsettled[f.Number] = heldEnd{RunningTask: f.RunningTask, lookUpAt: now, found: true}
+		w.unacknowledged[f.Number] = unacknowledgedCompletion{RunningTask: f.RunningTask, lookUpAt: now, foundAtTakeover: true}
 	}
 }
 
 // heldOutcome is how a run ended that is not listed any more: Terminated unless its end is held.
-func (w *worker) heldOutcome(t *task.Task) task.Outcome {
-	for _, h := range w.unsettled {
+func (w *worker) outcomeOfUnlisted(t *task.Task) task.Outcome {
+	for _, h := range w.unacknowledged {
 		if h.ID == t.ID && h.Run == t.Run {
 			return outcomeOf(Completion{RunningTask: h.RunningTask})
 		}
@@ -99,26 +99,26 @@
 }
 
 // acknowledged is the number up to which ends may be forgotten.
-func (w *worker) acknowledged() uint64 {
+func (w *worker) acknowledgeable() uint64 {
 	n := w.cursor
-	for held := range w.unsettled {
-		n = min(n, held-1)
+	for number := range w.unacknowledged {
+		n = min(n, number-1)
 	}
 	return n
 }
 
 // settle lets ends be acknowledged; the next poll does.
-func (e *Executor) settle(now time.Duration, w *worker, why string, which func(heldEnd) bool) {
-	before := len(w.unsettled)
-	for n, h := range w.unsettled {
-		if which(h) {
-			delete(w.unsettled, n)
-			e.out.Events = append(e.out.Events, Event{
-				Name: EventSettled, ID: h.ID, Run: h.Run, Worker: w.info.ID, Detail: fmt.Sprintf("why=%s late=%t found=%t number=%d", why, h.late, h.found, n),
+func (e *Executor) releaseCompletions(now time.Duration, w *worker, why string, match func(unacknowledgedCompletion) bool) {
+	before := len(w.unacknowledged)
+	for n, h := range w.unacknowledged {
+		if match(h) {
+			delete(w.unacknowledged, n)
+			e.output.Events = append(e.output.Events, Event{
+				Name: EventCompletionReleased, ID: h.ID, Run: h.Run, Worker: w.info.ID, Detail: fmt.Sprintf("why=%s late=%t found=%t number=%d", why, h.late, h.foundAtTakeover, n),
 			})
 		}
 	}
-	if before > 0 && len(w.unsettled) == 0 && !w.polling && (w.phase == held || w.phase == claiming) && w.silent == 0 {
+	if before > 0 && len(w.unacknowledged) == 0 && !w.polling && (w.phase == held || w.phase == claiming) && w.missedPolls == 0 {
 		e.poll(now, w)
 	}
 }
@@ -127,20 +127,22 @@
 // it need not know of all coordinators that may have started the task again.
 func (e *Executor) ConfirmStored(now time.Duration, runs []task.RunRef) {
 	for _, w := range e.order {
-		if len(w.unsettled) == 0 {
+		if len(w.unacknowledged) == 0 {
 			continue
 		}
-		e.settle(now, w, "stored", func(h heldEnd) bool { return !h.late && slices.Contains(runs, task.RunRef{ID: h.ID, Run: h.Run}) })
+		e.releaseCompletions(now, w, "stored", func(h unacknowledgedCompletion) bool {
+			return !h.late && slices.Contains(runs, task.RunRef{ID: h.ID, Run: h.Run})
+		})
 	}
 }
 
 // MarkSuperseded tells of ends whose tasks were started again before the ends were known.
 func (e *Executor) MarkSuperseded(runs []task.RunRef) {
 	for _, w := range e.order {
-		for n, h := range w.unsettled {
+		for n, h := range w.unacknowledged {
 			if slices.Contains(runs, task.RunRef{ID: h.ID, Run: h.Run}) {
 				h.late = true
-				w.unsettled[n] = h
+				w.unacknowledged[n] = h
 			}
 		}
 	}
@@ -152,54 +154,54 @@
 // showed of a job at some time after asked.
 func (e *Executor) ApplyJobStates(now, asked time.Duration, state func(job string) JobState) {
 	for _, w := range e.order {
-		for n, h := range w.unsettled {
+		for n, h := range w.unacknowledged {
 			if h.lookUpAt > asked || h.late {
 				continue
 			}
 			s := state(h.ID.Job)
-			h.settled = s == JobNotDurable && h.found
-			h.late = !h.settled && (s != JobOpen || h.lookedUp)
-			h.lookUpAt, h.lookedUp = now+settleWait, true
-			w.unsettled[n] = h
+			h.releasable = s == JobNotDurable && h.foundAtTakeover
+			h.late = !h.releasable && (s != JobOpen || h.lookedUp)
+			h.lookUpAt, h.lookedUp = now+confirmTimeout, true
+			w.unacknowledged[n] = h
 		}
-		e.settle(now, w, "not_kept", func(h heldEnd) bool { return h.settled })
+		e.releaseCompletions(now, w, "not_kept", func(h unacknowledgedCompletion) bool { return h.releasable })
 	}
 }
 
 // ownerOfEndsLost notes that the coordinator of held ends is out of sight. When that lasts,
 // another may look after the job and start the tasks again: the ends are late then.
-func (e *Executor) ownerOfEndsLost(now time.Duration, w *worker, owner member.Process) {
-	for n, h := range w.unsettled {
-		if h.owner == owner && h.lostAt == 0 {
-			h.lostAt = now
-			w.unsettled[n] = h
+func (e *Executor) markOwnerLost(now time.Duration, w *worker, owner member.Process) {
+	for n, h := range w.unacknowledged {
+		if h.owner == owner && h.ownerLostAt == 0 {
+			h.ownerLostAt = now
+			w.unacknowledged[n] = h
 		}
 	}
 }
 
 // ageEnds marks ends as late whose coordinator is out of sight for endWait.
-func (w *worker) ageEnds(now time.Duration) {
-	for n, h := range w.unsettled {
-		if h.lostAt > 0 && now-h.lostAt >= endWait && !h.late {
+func (w *worker) markLateCompletions(now time.Duration) {
+	for n, h := range w.unacknowledged {
+		if h.ownerLostAt > 0 && now-h.ownerLostAt >= lostOwnerTimeout && !h.late {
 			h.late = true
-			w.unsettled[n] = h
+			w.unacknowledged[n] = h
 		}
 	}
 }
 
 // lapseIdle lets the lease of a worker with late ends lapse: it gets no new runs, and when
 // nothing runs there any more and the last lease is over, the ends are acknowledged.
-func (e *Executor) lapseIdle(now time.Duration, w *worker) {
-	w.ageEnds(now)
-	if w.lapsing() && len(w.runs) == 0 && (w.clock.ms > w.granted || now >= w.lapsedBy()) {
-		e.event("lease_let_lapse", w, nil, fmt.Sprintf("ends=%d", len(w.unsettled)))
-		e.settle(now, w, "lapsed", func(h heldEnd) bool { return h.late })
+func (e *Executor) expireIdleLease(now time.Duration, w *worker) {
+	w.markLateCompletions(now)
+	if w.awaitsLeaseExpiry() && len(w.runs) == 0 && (w.clock.ms > w.grantedUntil || now >= w.leasesExpiredBy()) {
+		e.emitEvent("lease_let_lapse", w, nil, fmt.Sprintf("ends=%d", len(w.unacknowledged)))
+		e.releaseCompletions(now, w, "lapsed", func(h unacknowledgedCompletion) bool { return h.late })
 	}
 }
 
 // lapsing reports whether the worker's lease is to lapse.
-func (w *worker) lapsing() bool {
-	for _, h := range w.unsettled {
+func (w *worker) awaitsLeaseExpiry() bool {
+	for _, h := range w.unacknowledged {
 		if h.late {
 			return true
 		}
@@ -208,11 +210,11 @@
 }
 
 // askUnsettled asks for ApplyJobStates when it is time to look ends up.
-func (e *Executor) askUnsettled(now time.Duration) {
+func (e *Executor) requestJobStates(now time.Duration) {
 	for _, w := range e.order {
-		for _, h := range w.unsettled {
+		for _, h := range w.unacknowledged {
 			if now >= h.lookUpAt && !h.late {
-				e.out.JobsToLookUp = append(e.out.JobsToLookUp, h.ID.Job)
+				e.output.JobsToLookUp = append(e.output.JobsToLookUp, h.ID.Job)
 			}
 		}
 	}
@@ -222,66 +224,66 @@
 // more: what waits is dropped and what runs is stopped, and its end is kept for the next.
 func (e *Executor) WithdrawDurable(now time.Duration, owner member.Process, ids []task.ID) {
 	for _, id := range ids {
-		e.queue = slices.DeleteFunc(e.queue, func(q *queued) bool { return q.owner == owner && q.task.ID == id })
+		e.queue = slices.DeleteFunc(e.queue, func(q *queuedTask) bool { return q.owner == owner && q.task.ID == id })
 		for _, w := range e.order {
 			if r := w.runs[id]; r != nil && r.owner == owner && r.state != stopping {
-				e.stop(now, w, r)
+				e.sendStop(now, w, r)
 			}
 		}
 	}
-	e.step(now)
+	e.schedule(now)
 }
 
 // Reconcile tells a coordinator what is known here of kept jobs that it looks after. Of each
 // worker concerned all is told, runs and ends that are not settled: what is not in such a
 // list is over. What waits is given back, as it has not run.
 func (e *Executor) Reconcile(now time.Duration, by member.Process, jobs []string) {
-	asked := func(id task.ID) bool { return slices.Contains(jobs, id.Job) }
-	e.queue = slices.DeleteFunc(e.queue, func(q *queued) bool {
-		if !asked(q.task.ID) {
+	affected := func(id task.ID) bool { return slices.Contains(jobs, id.Job) }
+	e.queue = slices.DeleteFunc(e.queue, func(q *queuedTask) bool {
+		if !affected(q.task.ID) {
 			return false
 		}
-		e.report(q.owner, task.Report{ID: q.task.ID, Run: q.task.Run, Outcome: task.NotRun, Reason: ReasonReconciled})
+		e.emitReport(q.owner, task.Report{ID: q.task.ID, Run: q.task.Run, Outcome: task.NotRun, Reason: ReasonReconciled})
 		return true
 	})
 	for _, w := range e.order {
 		if w.phase != held && w.phase != claiming {
 			continue
 		}
-		t := Takeover{To: by, Worker: w.info.ID, Epoch: w.tenure, Token: w.obeyed, Reconciliation: true}
-		known := false
-		for _, r := range w.sorted() {
-			t.Running = append(t.Running, task.RunningTask{ID: r.id, Run: r.num})
-			known = known || asked(r.id)
+		t := Takeover{To: by, Worker: w.info.ID, Epoch: w.epoch, Token: w.epochToken, Reconciliation: true}
+		concerned := false
+		for _, r := range w.sortedRuns() {
+			t.Running = append(t.Running, task.RunningTask{ID: r.id, Run: r.number})
+			concerned = concerned || affected(r.id)
 		}
-		for n, h := range w.unsettled {
+		for n, h := range w.unacknowledged {
 			t.Completed = append(t.Completed, h.RunningTask)
-			if asked(h.ID) {
-				known = true
-				h.owner, h.lostAt, h.found = by, 0, false
-				w.unsettled[n] = h
+			if affected(h.ID) {
+				concerned = true
+				h.owner, h.ownerLostAt, h.foundAtTakeover = by, 0, false
+				w.unacknowledged[n] = h
 			}
 		}
-		if known {
-			e.event("runs_recalled", w, nil, fmt.Sprintf("by=%s running=%d ended=%d", by.Address, len(t.Running), len(t.Completed)))
-			e.out.Takeovers = append(e.out.Takeovers, t)
+		if concerned {
+			e.emitEvent("runs_recalled", w, nil, fmt.Sprintf("by=%s running=%d ended=%d", by.Address, len(t.Running), len(t.Completed)))
+			e.output.Takeovers = append(e.output.Takeovers, t)
 		}
 	}
-	e.step(now)
+	e.schedule(now)
 }
 
 // endOrphans stops kept runs that no coordinator has claimed in time.
-func (e *Executor) endOrphans(now time.Duration, w *worker) {
-	for _, r := range w.sorted() {
+func (e *Executor) stopOrphans(now time.Duration, w *worker) {
+	for _, r := range w.sortedRuns() {
 		if r.orphanedAt > 0 && now-r.orphanedAt >= OrphanTimeout && r.state != stopping {
-			e.event("run_orphaned", w, r, "stopped")
-			e.stop(now, w, r)
+			e.emitEvent("run_orphaned", w, r, "stopped")
+			e.sendStop(now, w, r)
 		}
 	}
 }
 
 // crowded reports whether as many tasks of the step run on the worker as may.
-func (w *worker) crowded(t *task.Task) bool {
+func (w *worker) atStepLimit(t *task.Task) bool {
 	if t.PerWorker <= 0 {
 		return false
 	}
--- a/executor/messages.go
+++ b/executor/messages.go
@@ -56,12 +56,12 @@
 	// Timeout is how long the answer to a start or a stop is waited for.
 	Timeout time.Duration
 	// look marks a poll beside the standing one.
-	look bool
+	extra bool
 	// probe marks a poll without a token, which the worker doesn't obey.
 	probe bool
 	// sent is when the call was emitted, and clock the latest reading of the worker's clock then.
-	sent  time.Duration
-	clock int64
+	sentAt      time.Duration
+	workerClock int64
 }
 
 // Verdict is what an answer, or its absence, proves about an order.
@@ -182,7 +182,7 @@
 	EventStarted          = "run_started"
 	EventEnded            = "run_ended"
 	EventRequeued         = "task_requeued"
-	EventGivenBack        = "task_given_back"
+	EventTaskReturned     = "task_given_back"
 	EventCapacityReserved = "room_held"
 	// EventDiscarded: a run is stopped, as its coordinator doesn't want it any more or is lost.
 	EventDiscarded = "run_discarded"
--- a/executor/reserve.go
+++ b/executor/reserve.go
@@ -17,19 +17,19 @@
 	// holdTime is how long room is held for a task after its coordinator was told of it: until
 	// then it has been asked back from where it waits and offered here, four messages between
 	// daemons. Room that is held in vain, as its coordinator is cut off, is back after that.
-	holdTime = 15 * time.Millisecond
+	capacityHoldTime = 15 * time.Millisecond
 	// maxReservations bounds the reservations in a queue, each of which is tried at each step:
 	// under a storm of jobs further ones are left out, and their tasks wait where they are.
 	maxReservations = 1000
 )
 
 // hold is room that is kept for a task that waits at another executor.
-type hold struct {
-	id     task.ID
-	owner  member.Process
-	worker *worker
-	demand capacity.Vector
-	until  time.Duration
+type capacityHold struct {
+	id        task.ID
+	owner     member.Process
+	worker    *worker
+	demand    capacity.Vector
+	expiresAt time.Duration
 }
 
 // Reserve queues tasks that wait at other executors. Once there is room for one it is held for a
@@ -39,20 +39,20 @@
 	left := maxReservations - e.Reservations()
 	for i := range min(len(tasks), left) {
 		tasks[i].MaxEpoch = 0 // an offer comes before anything is started, and tells them
-		e.unreserve(owner, tasks[i].ID)
-		e.enqueue(&queued{task: &tasks[i], owner: owner, since: now, reserved: true})
+		e.dropReservation(owner, tasks[i].ID)
+		e.enqueue(&queuedTask{task: &tasks[i], owner: owner, enqueuedAt: now, reserved: true})
 	}
-	e.expire(now)
-	e.step(now)
+	e.returnExpired(now)
+	e.schedule(now)
 }
 
 // Unreserve drops reservations and what is held for them.
 func (e *Executor) Unreserve(now time.Duration, owner member.Process, ids []task.ID) {
 	for _, id := range ids {
-		e.unreserve(owner, id)
-		e.takeHold(owner, id)
+		e.dropReservation(owner, id)
+		e.releaseHoldOf(owner, id)
 	}
-	e.step(now)
+	e.schedule(now)
 }
 
 // Reservations returns the number of tasks that wait elsewhere and have a place in the queue here.
@@ -65,43 +65,43 @@
 	return n
 }
 
-func (e *Executor) unreserve(owner member.Process, id task.ID) {
-	e.queue = slices.DeleteFunc(e.queue, func(q *queued) bool { return q.reserved && q.owner == owner && q.task.ID == id })
+func (e *Executor) dropReservation(owner member.Process, id task.ID) {
+	e.queue = slices.DeleteFunc(e.queue, func(q *queuedTask) bool { return q.reserved && q.owner == owner && q.task.ID == id })
 }
 
 // enqueue puts a task into its place in the queue.
-func (e *Executor) enqueue(q *queued) {
-	at, _ := slices.BinarySearchFunc(e.queue, q, before)
+func (e *Executor) enqueue(q *queuedTask) {
+	at, _ := slices.BinarySearchFunc(e.queue, q, compareQueued)
 	e.queue = slices.Insert(e.queue, at, q)
 }
 
 // startOrHold uses the room that a worker has for what is next in the queue.
-func (e *Executor) startOrHold(now time.Duration, w *worker, q *queued) {
+func (e *Executor) startOrHoldCapacity(now time.Duration, w *worker, q *queuedTask) {
 	if !q.reserved {
-		e.start(now, w, q)
+		e.startTask(now, w, q)
 		return
 	}
 	w.used = w.used.Plus(q.task.Demand)
-	e.holds = append(e.holds, hold{id: q.task.ID, owner: q.owner, worker: w, demand: q.task.Demand, until: now + holdTime})
-	e.out.Events = append(e.out.Events, Event{Name: EventCapacityReserved, ID: q.task.ID, Run: q.task.Run, Worker: w.info.ID, Age: now - q.since})
-	e.report(q.owner, task.Report{ID: q.task.ID, Run: q.task.Run, Outcome: task.NotRun, Worker: w.info.ID, Reason: ReasonReserved})
+	e.capacityHolds = append(e.capacityHolds, capacityHold{id: q.task.ID, owner: q.owner, worker: w, demand: q.task.Demand, expiresAt: now + capacityHoldTime})
+	e.output.Events = append(e.output.Events, Event{Name: EventCapacityReserved, ID: q.task.ID, Run: q.task.Run, Worker: w.info.ID, Age: now - q.enqueuedAt})
+	e.emitReport(q.owner, task.Report{ID: q.task.ID, Run: q.task.Run, Outcome: task.NotRun, Worker: w.info.ID, Reason: ReasonReserved})
 }
 
 // startHeld starts an offered task where room is held for it. One that comes too late isn't
 // started, as its caller may have an answer by then; it is given back with what waits.
-func (e *Executor) startHeld(now time.Duration, q *queued) bool {
-	e.unreserve(q.owner, q.task.ID)
-	w := e.takeHold(q.owner, q.task.ID)
+func (e *Executor) startOnHeldCapacity(now time.Duration, q *queuedTask) bool {
+	e.dropReservation(q.owner, q.task.ID)
+	w := e.releaseHoldOf(q.owner, q.task.ID)
 	if w == nil || now >= q.task.StartBy || !e.eligible(now, w, q.task) {
 		return false
 	}
-	e.start(now, w, q)
+	e.startTask(now, w, q)
 	return true
 }
 
 // takeHold gives held room back and returns its worker; nil when none is held for the task.
-func (e *Executor) takeHold(owner member.Process, id task.ID) (w *worker) {
-	e.releaseHolds(func(h hold) bool {
+func (e *Executor) releaseHoldOf(owner member.Process, id task.ID) (w *worker) {
+	e.releaseHolds(func(h capacityHold) bool {
 		if h.id != id || h.owner != owner {
 			return false
 		}
@@ -111,9 +111,9 @@
 	return w
 }
 
-func (e *Executor) releaseHolds(which func(hold) bool) {
-	e.holds = slices.DeleteFunc(e.holds, func(h hold) bool {
-		if !which(h) {
+func (e *Executor) releaseHolds(match func(capacityHold) bool) {
+	e.capacityHolds = slices.DeleteFunc(e.capacityHolds, func(h capacityHold) bool {
+		if !match(h) {
 			return false
 		}
 		h.worker.used = h.worker.used.Minus(h.demand)
--- a/executor/rebirth.go
+++ b/executor/restart.go
@@ -9,7 +9,7 @@
 
 // EventReborn tells that a worker which has crashed is back under its ID, by the source that it
 // was learned from.
-const EventReborn = "worker_life_changed"
+const EventWorkerRestarted = "worker_life_changed"
 
 // A worker may crash and come back under its ID. The new life runs nothing, has obeyed no
 // token, and counts its ends and its clock from the beginning. So a list of the new life, read
@@ -22,7 +22,7 @@
 // announced takes the life that an entry names and reports whether the entry is of the life
 // that is dealt with, or a later one. The entry of an earlier life may be read after a list of
 // the new one; the later birth decides.
-func (e *Executor) announced(now time.Duration, w *worker, i WorkerInfo) bool {
+func (e *Executor) acceptEntry(now time.Duration, w *worker, i WorkerInfo) bool {
 	switch {
 	case i.Incarnation == 0 || i.Incarnation == w.incarnation:
 	case w.incarnation == 0:
@@ -30,7 +30,7 @@
 	case i.Incarnation < w.incarnation:
 		return false
 	default:
-		e.reborn(now, w, i.Incarnation, "entry")
+		e.handleRestart(now, w, i.Incarnation, "entry")
 	}
 	return true
 }
@@ -38,20 +38,20 @@
 // attribute finds out which life of the worker has given an answer. One of an earlier life, or
 // the first of a new one, says nothing of the call's effect on the life that is dealt with: it
 // counts as none.
-func (e *Executor) attribute(now time.Duration, w *worker, c Call, a Answer) Answer {
+func (e *Executor) attributeAnswer(now time.Duration, w *worker, c Call, a Answer) Answer {
 	none := Answer{Verdict: Unknown}
 	switch {
-	case a.Incarnation != 0 && w.incarnation == 0 && c.sent >= w.incarnationSince:
+	case a.Incarnation != 0 && w.incarnation == 0 && c.sentAt >= w.incarnationSince:
 		w.incarnation, w.incarnationSince = a.Incarnation, now
 	case a.Incarnation != 0 && a.Incarnation != w.incarnation:
-		if c.sent < w.incarnationSince {
+		if c.sentAt < w.incarnationSince {
 			return none
 		}
-		e.reborn(now, w, a.Incarnation, "answer")
+		e.handleRestart(now, w, a.Incarnation, "answer")
 		return none
-	case c.clock > 0 && a.Clock > 0 && a.Clock < c.clock && c.sent >= w.incarnationSince:
+	case c.workerClock > 0 && a.Clock > 0 && a.Clock < c.workerClock && c.sentAt >= w.incarnationSince:
 		// A clock never goes back, so another life answers, though it doesn't say which.
-		e.reborn(now, w, 0, "clock")
+		e.handleRestart(now, w, 0, "clock")
 		return none
 	}
 	return a
@@ -60,44 +60,44 @@
 // reborn acts on the news that the worker has crashed and is back under its ID. What the old
 // life has confirmed is over. Starts without an answer may still reach the new one; they are
 // decided when it has been taken over.
-func (e *Executor) reborn(now time.Duration, w *worker, incarnation int64, source string) {
-	e.event(EventReborn, w, nil, fmt.Sprintf("source=%s incarnation=%d before=%d runs=%d", source, incarnation, w.incarnation, len(w.runs)))
+func (e *Executor) handleRestart(now time.Duration, w *worker, incarnation int64, source string) {
+	e.emitEvent(EventWorkerRestarted, w, nil, fmt.Sprintf("source=%s incarnation=%d before=%d runs=%d", source, incarnation, w.incarnation, len(w.runs)))
 	w.incarnation, w.incarnationSince = incarnation, now
-	for _, r := range w.sorted() {
-		if r.since > 0 {
-			e.end(now, w, r, task.Terminated, ReasonWorkerRestarted)
+	for _, r := range w.sortedRuns() {
+		if r.runningClock > 0 {
+			e.endRun(now, w, r, task.Terminated, ReasonWorkerRestarted)
 		}
 	}
-	w.forgetEnds()
-	e.forgetPace(w) // it may be of another kind now
-	w.silent, w.suspect, w.probing, w.failures = 0, false, false, 0
-	w.waiting = nil
+	w.forgetCompletions()
+	e.forgetSlowdown(w) // it may be of another kind now
+	w.missedPolls, w.suspect, w.onProbation, w.consecutiveFailures = 0, false, false, 0
+	w.awaitedClaims = nil
 	if w.phase != held && w.phase != claiming && w.phase != acquiring {
 		return
 	}
-	w.unreached, w.reborn = false, true
+	w.unreachable, w.restarted = false, true
 	e.acquire(now, w) // at once: until it arrives, the new life obeys what the old one was sent
 }
 
 // reading is the latest reading of the clock of the life that is dealt with; 0: there is none.
-func (w *worker) reading() int64 {
-	if w.reborn {
+func (w *worker) latestClock() int64 {
+	if w.restarted {
 		return 0
 	}
 	return w.clock.ms
 }
 
 // forgetEnds drops what is known of the ends that a life of the worker has listed.
-func (w *worker) forgetEnds() {
-	w.cursor, w.confirmed = 0, 0
-	clear(w.unsettled)
+func (w *worker) forgetCompletions() {
+	w.cursor, w.acknowledgeAnswered = 0, 0
+	clear(w.unacknowledged)
 }
 
 // unconfirmed is the number up to which ends are to be acknowledged; 0 where that was answered
 // before. Repeated, it could reach a new life of the worker, which would forget as many ends of
 // its own.
-func (w *worker) unconfirmed() uint64 {
-	if n := w.acknowledged(); n > w.confirmed {
+func (w *worker) nextAcknowledge() uint64 {
+	if n := w.acknowledgeable(); n > w.acknowledgeAnswered {
 		return n
 	}
 	return 0
@@ -106,35 +106,35 @@
 // resume decides what this executor had ordered before it took the worker anew: what the new
 // list shows goes on or has ended, and the rest never starts, as the worker refuses orders
 // under earlier tokens from here on.
-func (e *Executor) resume(now time.Duration, w *worker, a Answer) {
-	if w.reborn {
+func (e *Executor) resolveEarlierRuns(now time.Duration, w *worker, a Answer) {
+	if w.restarted {
 		// Late orders with deadlines of the old life's clock may have got the longest lease.
-		w.clock, w.granted, w.reborn = clock{a.Clock, now}, a.Clock+e.config.MaxLease.Milliseconds(), false
+		w.clock, w.grantedUntil, w.restarted = clockReading{a.Clock, now}, a.Clock+e.config.MaxLease.Milliseconds(), false
 	}
-	shown := make(map[task.ID]uint32, len(a.Running))
+	listed := make(map[task.ID]uint32, len(a.Running))
 	for _, l := range a.Running {
-		shown[l.ID] = l.Run
+		listed[l.ID] = l.Run
 	}
 	for _, f := range a.Completions {
-		if r := w.runs[f.ID]; r != nil && r.num == f.Run && r.task != nil {
+		if r := w.runs[f.ID]; r != nil && r.number == f.Run && r.task != nil {
 			w.cursor = max(w.cursor, f.Number)
-			e.holdEnd(now, w, r, f)
-			e.end(now, w, r, outcomeOf(f), f.Result)
+			e.holdCompletion(now, w, r, f)
+			e.endRun(now, w, r, outcomeOf(f), f.Result)
 		}
 	}
-	for _, r := range w.sorted() {
-		if num, ok := shown[r.id]; ok && num == r.num || len(a.Completions) >= listLimit {
-			e.confirm(r, w, a.Clock) // where the list is incomplete, the next tells
+	for _, r := range w.sortedRuns() {
+		if num, ok := listed[r.id]; ok && num == r.number || len(a.Completions) >= completionListLimit {
+			e.confirmRunning(r, w, a.Clock) // where the list is incomplete, the next tells
 			continue
 		}
-		e.end(now, w, r, task.Terminated, "refused_from_now_on")
+		e.endRun(now, w, r, task.Terminated, "refused_from_now_on")
 	}
 }
 
 // lapseReborn gives up starts without an answer at a worker that was reborn and can't be taken
 // over: the leases that they were given have passed.
-func (e *Executor) lapseReborn(now time.Duration, w *worker) {
-	if w.reborn && len(w.runs) > 0 && now >= max(w.lapsedBy(), w.incarnationSince+e.config.MaxLease) {
-		e.lapsed(now, w)
+func (e *Executor) expireRestarted(now time.Duration, w *worker) {
+	if w.restarted && len(w.runs) > 0 && now >= max(w.leasesExpiredBy(), w.incarnationSince+e.config.MaxLease) {
+		e.handleLeaseExpired(now, w)
 	}
 }
--- a/executor/retire.go
+++ b/executor/retire.go
@@ -14,6 +14,6 @@
 	for _, w := range e.order {
 		w.retired = domains[w.info.Domain]
 	}
-	e.expire(now)
-	e.step(now)
+	e.returnExpired(now)
+	e.schedule(now)
 }
--- a/executor/speed.go
+++ b/executor/slowdown.go
@@ -8,81 +8,81 @@
 
 const (
 	// speedRuns is how many runs a worker's speed is the mean of, older ones counting less.
-	speedRuns = 8
+	slowdownRuns = 8
 	// knownAfter is how many runs tell a worker's speed: of declared times that are off by half
 	// the mean is off by a quarter by then.
-	knownAfter = 4
+	minSlowdownRuns = 4
 	// alike is by how much, as a logarithm, a worker's run times may differ from what is usual
 	// before it counts as slower or faster: less is chance, or makes no job late.
-	alike = 0.25
+	alikeTolerance = 0.25
 	// toldStep is by how much, as a logarithm, a pace has to change before others are told
 	// anew: with less they would be with each run.
-	toldStep = 0.25
+	reportStep = 0.25
 	// inheritWithin is the age up to which a pace that another holder has told is taken over:
 	// workers turn slow for seconds more often than for good.
-	inheritWithin = 30 * time.Second
+	importMaxAge = 30 * time.Second
 	// inheritFor is how long a new worker's pace is asked for: a process that has just started has
 	// heard all others by then.
-	inheritFor = 2 * time.Second
+	importPeriod = 2 * time.Second
 )
 
 // pace is how long runs take compared with what was declared, as a mean of logarithms: one
 // task that takes ten times as long as declared then counts as much as one that takes a tenth.
-type pace struct {
+type slowdown struct {
 	mean float64
 	runs int
 	// told is the mean as others are told of it, toldRatio its exponential.
-	told, toldRatio float64
+	reported, reportedRatio float64
 	// odd is the last job that stood out, while nothing confirms or refutes it.
-	odd odd
+	outlier outlier
 	// askUntil is until when others are asked for what they were told of the worker; 0: not yet.
-	askUntil time.Duration
+	importUntil time.Duration
 }
 
-func (p *pace) observe(ratio float64) {
+func (p *slowdown) observe(ratio float64) {
 	p.runs++
-	p.mean += (ratio - p.mean) / float64(min(p.runs, speedRuns))
-	p.tell()
+	p.mean += (ratio - p.mean) / float64(min(p.runs, slowdownRuns))
+	p.updateReported()
 }
 
 // set replaces what is known.
-func (p *pace) set(mean float64) {
-	p.mean, p.runs, p.odd = mean, knownAfter, odd{}
-	p.tell()
+func (p *slowdown) set(mean float64) {
+	p.mean, p.runs, p.outlier = mean, minSlowdownRuns, outlier{}
+	p.updateReported()
 }
 
-func (p *pace) tell() {
-	if math.Abs(p.mean-p.told) >= toldStep {
-		p.told = p.mean
-		p.toldRatio = math.Exp(p.told)
+func (p *slowdown) updateReported() {
+	if math.Abs(p.mean-p.reported) >= reportStep {
+		p.reported = p.mean
+		p.reportedRatio = math.Exp(p.reported)
 	}
 }
 
-func (p *pace) known() bool { return p.runs >= knownAfter }
+func (p *slowdown) known() bool { return p.runs >= minSlowdownRuns }
 
 // ratio is actual over declared time as it is told; 0: not known.
-func (p *pace) ratio() float64 {
+func (p *slowdown) reportedSlowdown() float64 {
 	if !p.known() {
 		return 0
 	}
-	return cmp.Or(p.toldRatio, 1) // nothing to tell yet: as declared
+	return cmp.Or(p.reportedRatio, 1) // nothing to tell yet: as declared
 }
 
 // usualPace is the mean of the paces of an executor's workers, each counting the same however
 // many runs it gets: otherwise slow workers would look the more usual the more they are given.
-type usualPace struct {
+type slowdownMean struct {
 	sum   float64
 	count int
 }
 
-func (u *usualPace) add(p pace) {
+func (u *slowdownMean) add(p slowdown) {
 	if p.known() {
 		u.sum += p.mean
 		u.count++
 	}
 }
 
-func (u *usualPace) remove(p pace) {
+func (u *slowdownMean) remove(p slowdown) {
 	if p.known() {
 		u.sum -= p.mean
 		u.count--
@@ -92,32 +92,32 @@
 // SetMedianSlowdowns tells, by service, how many times as long as declared runs take on a usual worker
 // of all holders'. A holder all of whose workers are slow can't see it by comparing them.
 func (e *Executor) SetMedianSlowdowns(usual map[string]float64) {
-	e.toldUsual = make(map[string]float64, len(usual))
+	e.medianSlowdowns = make(map[string]float64, len(usual))
 	for service, ratio := range usual {
-		e.toldUsual[service] = math.Log(ratio)
+		e.medianSlowdowns[service] = math.Log(ratio)
 	}
 }
 
 // ImportSlowdowns takes over what other holders have told of workers that are new here, and how long
 // ago. What is wrong costs little: the worker is tried at once, and judged by what it does.
-func (e *Executor) ImportSlowdowns(now time.Duration, told func(worker string) (ratio float64, age time.Duration)) {
+func (e *Executor) ImportSlowdowns(now time.Duration, reported func(worker string) (ratio float64, age time.Duration)) {
 	for _, w := range e.order {
-		if w.pace.askUntil == 0 {
-			w.pace.askUntil = now + inheritFor
+		if w.slowdown.importUntil == 0 {
+			w.slowdown.importUntil = now + importPeriod
 		}
-		if w.pace.runs > 0 || now > w.pace.askUntil {
+		if w.slowdown.runs > 0 || now > w.slowdown.importUntil {
 			continue
 		}
-		if ratio, age := told(w.info.ID); ratio > 0 && age <= inheritWithin {
-			e.setPace(w, math.Log(ratio))
+		if ratio, age := reported(w.info.ID); ratio > 0 && age <= importMaxAge {
+			e.setSlowdown(w, math.Log(ratio))
 		}
 	}
 }
 
 // usualFor is the usual pace of a service's workers.
 func (e *Executor) usualFor(service string) float64 {
-	if told, ok := e.toldUsual[service]; ok {
-		return told
+	if reported, ok := e.medianSlowdowns[service]; ok {
+		return reported
 	}
 	if u := e.usual[service]; u.count > 0 {
 		return u.sum / float64(u.count)
@@ -126,44 +126,44 @@
 }
 
 // changePace lets f change a worker's pace and keeps the mean of all in step.
-func (e *Executor) changePace(w *worker, f func(p *pace)) {
+func (e *Executor) updateSlowdown(w *worker, f func(p *slowdown)) {
 	u := e.usual[w.info.Service]
-	u.remove(w.pace)
-	f(&w.pace)
-	u.add(w.pace)
+	u.remove(w.slowdown)
+	f(&w.slowdown)
+	u.add(w.slowdown)
 	e.usual[w.info.Service] = u
 }
 
-func (e *Executor) setPace(w *worker, mean float64) {
-	e.changePace(w, func(p *pace) { p.set(mean) })
+func (e *Executor) setSlowdown(w *worker, mean float64) {
+	e.updateSlowdown(w, func(p *slowdown) { p.set(mean) })
 }
 
 // forgetPace drops what is known of a worker that leaves.
-func (e *Executor) forgetPace(w *worker) {
-	e.changePace(w, func(p *pace) { *p = pace{askUntil: p.askUntil} })
+func (e *Executor) forgetSlowdown(w *worker) {
+	e.updateSlowdown(w, func(p *slowdown) { *p = slowdown{importUntil: p.importUntil} })
 }
 
 // ran notes how long a run took that this executor started and that ended well.
 // What ended while polls got no answers is listed late, which says nothing of the worker's pace.
-func (e *Executor) ran(now time.Duration, w *worker, r *run) {
-	if w.missedAt >= r.began {
+func (e *Executor) observeEndedRun(now time.Duration, w *worker, r *run) {
+	if w.lastMissedAt >= r.startSentAt {
 		return
 	}
-	if r.seen {
+	if r.measured {
 		// It may have run at two paces; the last one counts.
-		if s, ok := r.window(now, now-r.lastMark, 100); ok {
+		if s, ok := r.measureWindow(now, now-r.lastMeasuredAt, 100); ok {
 			s.ended = true
-			e.judgePace(now, w, s)
+			e.evaluateRun(now, w, s)
 		}
 		return
 	}
-	if ratio, ok := r.ratio(now - r.began); ok {
-		e.judgePace(now, w, observation{run: r, least: ratio, most: ratio, from: r.began, ended: true})
+	if ratio, ok := r.logRatio(now - r.startSentAt); ok {
+		e.evaluateRun(now, w, observation{run: r, low: ratio, high: ratio, from: r.startSentAt, ended: true})
 	}
 }
 
 // ratio is actual over declared time, as a logarithm; ok is false where a run tells nothing.
-func (r *run) ratio(took time.Duration) (ratio float64, ok bool) {
+func (r *run) logRatio(took time.Duration) (ratio float64, ok bool) {
 	if r.task == nil || r.deadline == 0 || r.task.ExpectedRunTime <= 0 || took <= 0 {
 		return 0, false
 	}
@@ -173,10 +173,10 @@
 // slowness is how many times as long as usual the worker's runs take; 1 where that isn't
 // known, or doesn't stand out.
 func (e *Executor) slowness(w *worker) float64 {
-	if !w.pace.known() {
+	if !w.slowdown.known() {
 		return 1
 	}
-	if difference := w.pace.mean - e.usualFor(w.info.Service); math.Abs(difference) > alike {
+	if difference := w.slowdown.mean - e.usualFor(w.info.Service); math.Abs(difference) > alikeTolerance {
 		return math.Exp(difference)
 	}
 	return 1
--- a/executor/takeover.go
+++ b/executor/takeover.go
@@ -10,55 +10,55 @@
 
 // taken acts on a higher token: another executor holds the worker. What runs there goes
 // on; the new holder asks the coordinators for it.
-func (e *Executor) taken(now time.Duration, w *worker) {
+func (e *Executor) handleTaken(now time.Duration, w *worker) {
 	if w.phase == yielded || w.phase == released {
 		return
 	}
-	e.event("worker_taken", w, nil, fmt.Sprintf("runs=%d", len(w.runs)))
-	for _, r := range w.sorted() {
+	e.emitEvent("worker_taken", w, nil, fmt.Sprintf("runs=%d", len(w.runs)))
+	for _, r := range w.sortedRuns() {
 		if r.state == starting {
 			continue // its answer tells whether the order was obeyed
 		}
-		w.remove(r)
-		e.leave(now, r)
-		e.moved(w, r)
+		w.removeRun(r)
+		e.noteLeftRun(now, r)
+		e.reportMoved(w, r)
 	}
 	// The new holder finds what is held here on the worker's list, and so does this one, if it takes
 	// the worker back: who is to store those ends may have changed.
-	w.cursor = w.acknowledged()
-	clear(w.unsettled)
+	w.cursor = w.acknowledgeable()
+	clear(w.unacknowledged)
 	w.phase = yielded
-	w.nextPoll = now + yieldTime
-	if !w.wanted {
+	w.nextPollAt = now + yieldDelay
+	if !w.assigned {
 		w.phase = released
 	}
 }
 
 // moved tells a run's coordinator that another executor looks after the worker.
-func (e *Executor) moved(w *worker, r *run) {
-	if r.wanted() {
-		e.report(r.owner, task.Report{ID: r.id, Run: r.num, Outcome: task.Moved, Worker: w.info.ID, Reason: "worker_taken", Token: w.obeyed})
+func (e *Executor) reportMoved(w *worker, r *run) {
+	if r.awaited() {
+		e.emitReport(r.owner, task.Report{ID: r.id, Run: r.number, Outcome: task.Moved, Worker: w.info.ID, Reason: "worker_taken", Token: w.epochToken})
 	}
 }
 
 // acquired takes a worker over: its runs are asked for among the coordinators.
-func (e *Executor) acquired(now time.Duration, w *worker, a Answer) {
+func (e *Executor) handleAcquired(now time.Duration, w *worker, a Answer) {
 	w.phase = claiming
-	e.tenures++
-	w.tenure, w.obeyed = e.tenures, w.token
+	e.epochs++
+	w.epoch, w.epochToken = e.epochs, w.token
 	if len(a.Running) == 0 {
 		// Nothing can be claimed, and no order of an earlier holder is obeyed any more: the
 		// worker is free. After a loss of power of all daemons that is each of them, and
 		// callers that come again wait for the first.
 		w.phase = held
 	}
-	w.claimBy = now + claimWait
-	w.waiting = nil
-	t := Takeover{Worker: w.info.ID, Epoch: w.tenure, Token: w.obeyed}
-	e.resume(now, w, a)
+	w.claimDeadline = now + claimTimeout
+	w.awaitedClaims = nil
+	t := Takeover{Worker: w.info.ID, Epoch: w.epoch, Token: w.epochToken}
+	e.resolveEarlierRuns(now, w, a)
 	for _, l := range a.Running {
-		if r := w.runs[l.ID]; r == nil || r.num != l.Run {
-			w.add(&run{id: l.ID, num: l.Run, state: running, began: now, changed: now, since: a.Clock})
+		if r := w.runs[l.ID]; r == nil || r.number != l.Run {
+			w.addRun(&run{id: l.ID, number: l.Run, state: running, startSentAt: now, progressAt: now, runningClock: a.Clock})
 		}
 		t.Running = append(t.Running, l.RunningTask)
 	}
@@ -68,12 +68,12 @@
 		}
 		w.cursor = f.Number
 		t.Completed = append(t.Completed, f.RunningTask)
-		e.holdFound(now, w, f)
+		e.holdFoundCompletion(now, w, f)
 	}
 	// Our leases may not shorten what an earlier holder granted.
-	w.granted = max(w.granted, a.Clock+e.config.Lease.Milliseconds())
-	e.event("worker_held", w, nil, fmt.Sprintf("token=%d running=%d ended=%d", w.token, len(t.Running), len(t.Completed)))
-	e.out.Takeovers = append(e.out.Takeovers, t)
+	w.grantedUntil = max(w.grantedUntil, a.Clock+e.config.Lease.Milliseconds())
+	e.emitEvent("worker_held", w, nil, fmt.Sprintf("token=%d running=%d ended=%d", w.token, len(t.Running), len(t.Completed)))
+	e.output.Takeovers = append(e.output.Takeovers, t)
 }
 
 // ExpectClaims tells which coordinators a takeover was sent to; the worker opens when all have
@@ -83,12 +83,12 @@
 	if w == nil || w.phase != claiming {
 		return
 	}
-	w.waiting = make(map[member.Process]bool, len(coordinators))
+	w.awaitedClaims = make(map[member.Process]bool, len(coordinators))
 	for _, c := range coordinators {
-		w.waiting[c] = true
+		w.awaitedClaims[c] = true
 	}
-	e.settleClaims(now, w)
-	e.step(now)
+	e.finishClaims(now, w)
+	e.schedule(now)
 }
 
 // HandleClaims takes a coordinator's claims: what runs goes on for it, what doesn't is
@@ -97,51 +97,51 @@
 	w := e.workers[c.Worker]
 	if w == nil || w.phase != claiming && w.phase != held {
 		for _, t := range c.Tasks {
-			e.report(c.Owner, task.Report{ID: t.ID, Run: t.Run, Outcome: task.Moved, Worker: c.Worker, Reason: "not_held"})
+			e.emitReport(c.Owner, task.Report{ID: t.ID, Run: t.Run, Outcome: task.Moved, Worker: c.Worker, Reason: "not_held"})
 		}
 		return
 	}
 	for i := range c.Tasks {
 		e.claim(now, w, c.Owner, &c.Tasks[i])
 	}
-	delete(w.waiting, c.Owner)
-	e.settleClaims(now, w)
-	e.step(now)
+	delete(w.awaitedClaims, c.Owner)
+	e.finishClaims(now, w)
+	e.schedule(now)
 }
 
 func (e *Executor) claim(now time.Duration, w *worker, owner member.Process, t *task.Task) {
 	r := w.runs[t.ID]
-	if r == nil || r.num != t.Run {
-		e.report(owner, task.Report{ID: t.ID, Run: t.Run, Outcome: w.heldOutcome(t), Worker: w.info.ID, Reason: "not_listed"})
+	if r == nil || r.number != t.Run {
+		e.emitReport(owner, task.Report{ID: t.ID, Run: t.Run, Outcome: w.outcomeOfUnlisted(t), Worker: w.info.ID, Reason: "not_listed"})
 		return
 	}
 	if r.task != nil && (r.owner == owner && r.orphanedAt == 0 || !t.Durable) {
 		return
 	}
-	w.remove(r)
+	w.removeRun(r)
 	r.task, r.owner, r.orphanedAt = t, owner, 0
-	w.add(r)
-	if r.state == starting || r.state == doubtful {
+	w.addRun(r)
+	if r.state == starting || r.state == unanswered {
 		return // its start is reported when the worker confirms it
 	}
 	if r.state == stopping {
-		r.discard = false // too late to go on, but its end is worth knowing
+		r.discarded = false // too late to go on, but its end is worth knowing
 		return
 	}
-	e.report(owner, task.Report{ID: r.id, Run: r.num, Outcome: task.Started, Worker: w.info.ID, Reason: "claimed", Token: w.obeyed})
+	e.emitReport(owner, task.Report{ID: r.id, Run: r.number, Outcome: task.Started, Worker: w.info.ID, Reason: "claimed", Token: w.epochToken})
 }
 
 // settleClaims opens a worker once all its runs are claimed or stopped.
-func (e *Executor) settleClaims(now time.Duration, w *worker) {
-	if w.phase != claiming || w.waiting == nil || len(w.waiting) > 0 && now < w.claimBy {
+func (e *Executor) finishClaims(now time.Duration, w *worker) {
+	if w.phase != claiming || w.awaitedClaims == nil || len(w.awaitedClaims) > 0 && now < w.claimDeadline {
 		return
 	}
-	for _, r := range w.sorted() {
+	for _, r := range w.sortedRuns() {
 		if r.task == nil && r.state != stopping {
 			e.discard(now, w, r, "unclaimed")
 		}
 	}
-	if !w.unclaimed() {
+	if !w.hasUnclaimedRuns() {
 		w.phase = held
 	}
 }
