--- a/executor/answers.go
+++ b/executor/answers.go
@@ -9,7 +9,7 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// HandleAnswer takes a worker's answer to a call.
+// HandleAnswer handles a worker's answer to a call.
 func (e *Executor) HandleAnswer(now time.Duration, c Call, a Answer) {
 	w := e.workers[c.Worker]
 	if w == nil {
@@ -57,7 +57,7 @@
 		w.suspect = true
 		e.pollExtra(now, w)
 	case Outdated:
-		// Another daemon has run this task here, and that run is over.
+		// Another daemon has run this task on the worker, and that run has ended.
 		if r.state == starting && r.number < maxRunNumber && !w.excluded() {
 			r.number++
 			e.emitCall(now, w, Call{Kind: CallStart, Task: r.task, ID: r.id, Run: r.number, Deadline: r.deadline})
@@ -73,7 +73,7 @@
 		w.pausedUntil = max(w.pausedUntil, now+fullPause)
 		e.requeue(now, w, r)
 	case Late:
-		// Our idea of the worker's clock is behind: the answer tells the right one.
+		// The estimate of the worker's clock is behind. The answer states the correct time.
 		w.clock = clockReading{a.Clock, now}
 		e.requeue(now, w, r)
 	case Unhealthy, Unsent:
@@ -84,7 +84,7 @@
 	}
 }
 
-// confirm notes that the worker has said that the run is there.
+// confirmRunning notes that the worker has confirmed that the run is there.
 func (e *Executor) confirmRunning(r *run, w *worker, clockMS int64) {
 	if r.runningClock == 0 || clockMS < r.runningClock {
 		r.runningClock = clockMS
@@ -95,7 +95,7 @@
 	}
 }
 
-// requeue puts a task back whose start was refused: it has not run.
+// requeue queues a task again whose start was refused: it has not run.
 func (e *Executor) requeue(now time.Duration, w *worker, r *run) {
 	w.removeRun(r)
 	if r.discarded {
@@ -107,7 +107,7 @@
 	e.enqueue(&queuedTask{task: r.task, owner: r.owner, enqueuedAt: now})
 }
 
-// giveBack returns a task that has not run to its coordinator.
+// returnRun returns a task that has not run to its coordinator.
 func (e *Executor) returnRun(_ time.Duration, w *worker, r *run, reason string) {
 	w.removeRun(r)
 	if r.awaited() {
@@ -136,7 +136,7 @@
 	}
 }
 
-// end removes a run that is proved over and reports it.
+// endRun removes a run that is proved to be over, and reports it.
 func (e *Executor) endRun(now time.Duration, w *worker, r *run, o task.Outcome, reason string) {
 	w.removeRun(r)
 	e.output.Events = append(e.output.Events, Event{
@@ -151,7 +151,7 @@
 	e.recordOutcome(now, w, r, o)
 }
 
-// judge closes a worker whose runs fail in a row.
+// recordOutcome ejects a worker whose runs fail in a row, and ends its probation after a success.
 func (e *Executor) recordOutcome(now time.Duration, w *worker, r *run, o task.Outcome) {
 	switch o {
 	case task.Done:
@@ -166,7 +166,7 @@
 	}
 }
 
-// endAll reports all runs of a worker that is gone.
+// endAllRuns reports all runs of a worker as gone.
 func (e *Executor) endAllRuns(now time.Duration, w *worker, reason string) {
 	for _, r := range w.sortedRuns() {
 		e.endRun(now, w, r, task.Terminated, reason)
@@ -184,7 +184,7 @@
 	return list
 }
 
-// workerDied acts on the proof that the incarnation is over: nothing of it runs.
+// handleWorkerDied acts on proof that the incarnation is over: none of its runs goes on.
 func (e *Executor) handleWorkerDied(now time.Duration, w *worker) {
 	e.emitEvent("worker_died", w, nil, fmt.Sprintf("runs=%d", len(w.runs)))
 	e.endAllRuns(now, w, ReasonWorkerDied)
@@ -201,7 +201,7 @@
 		return
 	}
 	if c.Token != w.token {
-		return // the worker has been taken anew, or is about to be
+		return // the worker has been taken again, or is about to be
 	}
 	if c.extra {
 		w.extraPolling = false
@@ -218,7 +218,7 @@
 		return
 	case Fenced:
 		if w.phase == acquiring {
-			// Someone holds it with a higher token than ours, perhaps by a faster clock.
+			// Another holder has a higher token, perhaps because its clock is ahead.
 			w.nextPollAt = now + yieldDelay
 			w.phase = yielded
 			return
@@ -237,8 +237,8 @@
 		case w.missedPolls > 1:
 			w.nextPollAt = now + extraPollInterval
 		}
-		// The next tick that is due polls again: a worker that refuses connections answers
-		// at once, and polling it without a pause would take all of the processor.
+		// The next due tick polls again. A worker that refuses connections answers at once, and
+		// polls without a pause would take all of the processor.
 		return
 	}
 	if c.extra || w.polling || w.phase != held && w.phase != claiming {
@@ -251,7 +251,7 @@
 	e.poll(now, w)
 }
 
-// listed takes in a worker's lists.
+// handleLists reads the lists in a worker's answer.
 func (e *Executor) handleLists(now time.Duration, w *worker, a Answer) {
 	if w.phase == acquiring {
 		e.handleAcquired(now, w, a)
@@ -298,19 +298,20 @@
 	}
 }
 
-// absent judges a run that a complete list made at the given clock does not show.
+// handleAbsentRun handles a run that is missing from a complete list. clockMS is the worker's clock
+// when it made the list.
 func (e *Executor) handleAbsentRun(now time.Duration, w *worker, r *run, clockMS int64) {
 	switch {
 	case r.runningClock > 0 && clockMS > r.runningClock:
 		e.endRun(now, w, r, task.Terminated, "vanished")
 	case r.stoppedClock > 0 && clockMS > r.stoppedClock:
-		// A run that was there when the stop came is listed until its end is.
+		// Had the run been there when the stop came, the list would show it until its end is listed.
 		e.endRun(now, w, r, task.Terminated, "stopped_before_start")
 	case r.deadline > 0 && clockMS > r.deadline:
-		// The start can't be carried out any more, and it has left no trace.
+		// The start cannot be carried out any more, and it has left no trace.
 		e.endRun(now, w, r, task.Terminated, "never_started")
 	case r.state == unanswered && r.stopSentAt == 0:
-		// It may still be on its way; a stop seals that it never starts.
+		// The start may still be on its way. A stop makes sure that it never takes effect.
 		state := r.state
 		e.sendStop(now, w, r)
 		r.state = state
--- a/executor/capacity.go
+++ b/executor/capacity.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// WorkerCapacities returns what is left on each worker in use.
+// WorkerCapacities returns the capacity of each worker that coordinators are told of.
 func (e *Executor) WorkerCapacities(now time.Duration) []WorkerCapacity {
 	return e.AppendWorkerCapacities(make([]WorkerCapacity, 0, len(e.order)), now)
 }
 
-// AppendWorkerCapacities appends what is left on each worker in use, and on those where runs are left.
+// AppendWorkerCapacities appends the capacity of each worker in use, and of each worker that has
+// left use and still has runs of this executor.
 func (e *Executor) AppendWorkerCapacities(rooms []WorkerCapacity, now time.Duration) []WorkerCapacity {
 	for _, w := range e.order {
 		if w.visible() {
@@ -20,7 +21,7 @@
 	return rooms
 }
 
-// HeldWorkers returns the workers in use.
+// HeldWorkers returns the IDs of the workers in use.
 func (e *Executor) HeldWorkers() []string {
 	var ids []string
 	for _, w := range e.order {
--- a/executor/config.go
+++ b/executor/config.go
@@ -2,68 +2,69 @@
 
 import "time"
 
-// Config holds the limits of an Executor. The zero value of a field stands for its
-// default.
+// Config holds the limits of an Executor. A zero field stands for its default.
 type Config struct {
-	// Lease is the time that each order grants to all runs of a worker. Longer leases
-	// bear longer silence between holder and worker; shorter ones make a lost run safe
-	// to start again sooner. Default DefaultLease.
+	// Lease is how long each order extends the lease of all runs of a worker. A longer lease
+	// tolerates a longer loss of contact between holder and worker. With a shorter lease, a lost
+	// run's task is safe to start again sooner. Default DefaultLease.
 	Lease time.Duration
-	// MaxLease is the longest lease that workers grant, whatever an order asks for. Default:
-	// Lease, or DefaultLease if that is longer.
+	// MaxLease is the longest lease that workers grant, whatever an order asks for. Default: the
+	// longer of Lease and DefaultLease.
 	MaxLease time.Duration
-	// StopTimeout is how long a worker may take for a stop. Default DefaultStopTimeout.
+	// StopTimeout is how long a worker may take to stop a run. Default DefaultStopTimeout.
 	StopTimeout time.Duration
-	// TokenSource returns a number for fencing tokens that is unique to this process and
-	// grows with time. Required.
+	// TokenSource returns a number for fencing tokens. It is unique to this process and grows with
+	// time. Required.
 	TokenSource func() uint64
 }
 
 const (
 	// DefaultLease is the longest lease that workers grant.
 	DefaultLease = time.Second
-	// DefaultStopTimeout is the workers' own bound.
+	// DefaultStopTimeout is the bound that workers keep.
 	DefaultStopTimeout = 50 * time.Millisecond
-	// clockDrift is how much slower a worker's clock may run than ours.
+	// clockDrift is the fraction by which a worker's clock may run slower than this process's clock.
 	clockDrift = 0.02
-	// lapseMargin is added to the end of a lease for timers that fire late.
+	// leaseMargin is added to the end of a lease, as timers may fire late.
 	leaseMargin = 30 * time.Millisecond
-	// busyWait is how long a worker may hold a poll while it runs something: the lease
-	// is extended at least this often, so that it outlives one lost poll.
+	// busyPollWait is how long a worker that runs something may hold a poll. Polls extend the lease,
+	// so it is extended at least this often and outlives one lost poll.
 	busyPollWait = 250 * time.Millisecond
-	// idleWait is the same while nothing runs; the poll only tells that the worker is there.
+	// idlePollWait is the same for an idle worker. The poll only shows that the worker is reachable.
 	idlePollWait = 600 * time.Millisecond
-	// closingSilence is how many polls in a row without an answer close a worker: a single
-	// one is lost now and then, and closing for it leaves room unused. From lapsingSilence
-	// on its lease is not extended any more, so that what it ran is safe to start again soon.
+	// closeAfterMissed is how many polls in a row have to get no answer before the worker is closed
+	// for new runs. Single polls are lost now and then; closing for one would waste capacity.
+	// From stopExtendingAfterMissed on, polls no longer extend the worker's lease, so that its
+	// tasks are soon safe to start again.
 	closeAfterMissed         = 2
 	stopExtendingAfterMissed = 2
-	// claimWait is how long coordinators have for claiming the runs of a worker that was
-	// taken over; what nobody claims is stopped.
+	// claimTimeout is how long coordinators may take to claim the runs of a worker that was taken
+	// over. The executor stops unclaimed runs.
 	claimTimeout = 300 * time.Millisecond
-	// retryAcquire is the pause after a failed attempt to take a worker over.
+	// acquireRetryDelay is the delay after a failed attempt to take a worker over.
 	acquireRetryDelay = 300 * time.Millisecond
-	// yieldTime is how long a worker that another executor took is left to it, so that
-	// two daemons whose views differ for a moment don't take it from each other by turns.
+	// yieldDelay is how long this executor leaves a worker to the executor that took it. Without the
+	// delay, two daemons whose views differ for a moment would keep taking it from each other.
 	yieldDelay = 1500 * time.Millisecond
-	// reunionWait is how long a worker that can be reached again is left to the holder that it
-	// obeys: by then daemons that a partition had parted are linked again, which takes a dial
-	// that has to time out (400 ms), a pause (100 ms) and a heartbeat each way.
+	// reconnectWait is how long this executor leaves a worker that is reachable again to the holder
+	// that it obeys. Daemons that a partition had separated have reconnected by then: that takes a
+	// dial that has to time out (400 ms), a pause (100 ms) and a heartbeat in each direction.
 	reconnectWait = 700 * time.Millisecond
-	// lookEvery is the pause between attempts to learn what became of an order.
+	// extraPollInterval is the delay between attempts to find out what became of an order.
 	extraPollInterval = 120 * time.Millisecond
-	// maxRunJump bounds the search for a run number above those a worker has seen.
+	// maxRunNumber bounds the search for a run number above those that a worker has seen.
 	maxRunNumber = 12
-	// roomPause closes a worker that refuses a start for want of room: something runs
-	// there that this executor doesn't know of.
+	// fullPause is how long a worker that refused a start for lack of capacity gets no new runs: it
+	// runs something that this executor does not know of.
 	fullPause = 100 * time.Millisecond
-	// shedPause closes a worker that answers that it is unhealthy; it doubles up to maxPause.
+	// unhealthyPause is how long a worker that answers that it is unhealthy gets no new runs. It
+	// doubles up to maxPause.
 	unhealthyPause = 250 * time.Millisecond
 	maxPause       = 4 * time.Second
-	// failuresToEject closes a worker after this many failed runs in a row.
+	// failuresToEject is how many runs in a row have to fail before the worker is closed.
 	failuresToEject = 3
-	// listLimit is how many ends a worker lists at once. A longer list is incomplete, so
-	// a run that it doesn't show may have ended all the same.
+	// completionListLimit is how many completions a worker lists at once. A list of this length may
+	// be incomplete, so a run that it does not show may have ended all the same.
 	completionListLimit = 500
 )
 
--- a/executor/departing.go
+++ b/executor/departing.go
@@ -1,7 +1,7 @@
 package executor
 
-// SetDeparting tells which workers are being left to daemons that this one's coordinators are not
-// linked with. They get no new runs; what runs there goes on until the next holder takes them.
+// SetDeparting sets which workers are being handed to daemons that this daemon's coordinators have no
+// link to. The workers get no new runs. Their present runs go on until the next holder takes them.
 func (e *Executor) SetDeparting(departing func(id string) bool) {
 	for _, w := range e.order {
 		w.departing = departing(w.info.ID)
--- a/executor/durable.go
+++ b/executor/durable.go
@@ -10,67 +10,69 @@
 )
 
 const (
-	// OrphanTimeout is how long a kept run goes on without its coordinator: within this time
-	// another one has adopted the job and claims the run, or it is stopped, so that the
-	// task is safe to start again.
+	// OrphanTimeout is how long a durable job's run goes on without its coordinator. Within this time
+	// a successor takes the job over and claims the run. Otherwise the executor stops the run, so that
+	// its task is safe to start again.
 	OrphanTimeout = 1200 * time.Millisecond
-	// unsettledPace is the time between polls of a worker that lists ends which may not be
-	// acknowledged yet: it doesn't hold such a poll back until something ends.
+	// unacknowledgedPollDelay is the delay between polls of a worker that lists completions which must
+	// not be acknowledged yet. Such a worker answers polls at once and does not hold them until a run
+	// ends.
 	unacknowledgedPollDelay = 25 * time.Millisecond
-	// endWait is how long an end is held as usual after its coordinator is lost: within
-	// this time an heir has adopted the job and recalled it, and no coordinator starts the
-	// task again; that one waits for 3.2 s from when it lost sight of this executor, which
-	// may be a second earlier.
+	// lostOwnerTimeout is how long after the loss of its coordinator a completion may still be
+	// confirmed as stored. Within this time a successor takes the job over and reconciles it, and no
+	// coordinator starts the task again: a coordinator waits 3.2 s for that, from when this executor
+	// became unreachable for it, which may be a second earlier.
 	lostOwnerTimeout = 1900 * time.Millisecond
-	// settleWait is how long an end may wait to be settled before it is looked up whether
-	// its job has ended meanwhile.
+	// confirmTimeout is how long a completion may wait for the confirmation that it is stored. After
+	// that the executor asks whether its job has ended meanwhile.
 	confirmTimeout = 2 * time.Second
 )
 
-// heldEnd is an end that its coordinator, or the next one, has to store before the worker
-// may forget it: otherwise a task that is done would be started again after a power loss.
+// unacknowledgedCompletion is a completion that its coordinator, or a successor, has to store before
+// the worker may forget it. Otherwise a task that is done would start again after a power loss.
 type unacknowledgedCompletion struct {
 	task.RunningTask
-	// lookUpAt is when it is looked up whether the job has ended.
+	// lookUpAt is when the executor asks whether the job has ended.
 	lookUpAt time.Duration
-	// late: its coordinator has not settled it in time. Another may have started the task
-	// again by then, and acknowledging the end now would make that a second run of a task
-	// that was done; after a lapse of the worker's lease the end counts for nothing.
+	// late: the completion may be acknowledged only after the worker's lease has expired, when it
+	// counts for nothing. Its coordinator has not confirmed it in time, or has started the task again.
+	// Another coordinator may have started the task again by then. If the completion were acknowledged
+	// now, that run would be a second run of a task that was done.
 	late bool
-	// lookedUp: its job was found not to have ended.
+	// lookedUp: a look-up found that its job had not ended.
 	lookedUp bool
-	// settled: it may be acknowledged.
+	// releasable: it may be acknowledged.
 	releasable bool
-	// found: it was listed at a takeover, and its job is not known to be kept.
+	// foundAtTakeover: it was listed at a takeover, and it is not known whether its job is durable.
 	foundAtTakeover bool
-	// owner is its coordinator, lostAt when that was lost; 0: it is there.
+	// owner is its coordinator, ownerLostAt when that became unreachable; 0: it is reachable.
 	owner       member.Process
 	ownerLostAt time.Duration
 }
 
-// EventSettled tells that an end may be acknowledged, and why.
+// EventCompletionReleased tells that a completion may be acknowledged, and why.
 const EventCompletionReleased = "end_settled"
 
-// knownTo reports whether a coordinator was told of the end and has been there since: one that
-// was not may have started the task again after it.
+// knownTo reports whether the coordinator was told of the completion and has been reachable since.
+// Otherwise it may have started the task again after the completion.
 func (h unacknowledgedCompletion) knownTo(owner member.Process) bool {
 	return h.owner == owner && h.ownerLostAt == 0 && !h.late
 }
 
-// JobState is what the store shows of a job whose end is held.
+// JobState is the stored state of a job that has an unacknowledged completion.
 type JobState uint8
 
-// States of jobs whose ends are held.
+// States of jobs.
 const (
-	// JobNotDurable: the store knows of no such job.
+	// JobNotDurable: the store has no such job.
 	JobNotDurable JobState = iota
-	// JobOpen: it has not ended.
+	// JobOpen: the job has not ended.
 	JobOpen
-	// JobEnded: it has.
+	// JobEnded: the job has ended.
 	JobEnded
 )
 
-// holdEnd holds the end of a kept run back.
+// holdCompletion keeps the completion of a durable job's run from being acknowledged.
 func (e *Executor) holdCompletion(now time.Duration, w *worker, r *run, f Completion) {
 	switch {
 	case r.task == nil:
@@ -80,15 +82,16 @@
 	}
 }
 
-// holdFound holds back an end that was listed at a takeover: nobody here knows yet whether
-// its job is kept, so that is looked up at once.
+// holdFoundCompletion keeps a completion that was listed at a takeover from being acknowledged. This
+// executor does not know whether the job is durable, so it asks for the job's state at once.
 func (e *Executor) holdFoundCompletion(now time.Duration, w *worker, f Completion) {
 	if f.Done || f.Failed {
 		w.unacknowledged[f.Number] = unacknowledgedCompletion{RunningTask: f.RunningTask, lookUpAt: now, foundAtTakeover: true}
 	}
 }
 
-// heldOutcome is how a run ended that is not listed any more: Terminated unless its end is held.
+// outcomeOfUnlisted is how a run ended that the worker no longer lists as running. It is Terminated unless an
+// unacknowledged completion shows otherwise.
 func (w *worker) outcomeOfUnlisted(t *task.Task) task.Outcome {
 	for _, h := range w.unacknowledged {
 		if h.ID == t.ID && h.Run == t.Run {
@@ -98,7 +101,7 @@
 	return task.Terminated
 }
 
-// acknowledged is the number up to which ends may be forgotten.
+// acknowledgeable is the number up to which the worker may forget completions.
 func (w *worker) acknowledgeable() uint64 {
 	n := w.cursor
 	for number := range w.unacknowledged {
@@ -107,7 +110,7 @@
 	return n
 }
 
-// settle lets ends be acknowledged; the next poll does.
+// releaseCompletions lets completions be acknowledged; the next poll acknowledges them.
 func (e *Executor) releaseCompletions(now time.Duration, w *worker, why string, match func(unacknowledgedCompletion) bool) {
 	before := len(w.unacknowledged)
 	for n, h := range w.unacknowledged {
@@ -123,8 +126,9 @@
 	}
 }
 
-// ConfirmStored tells that ends are stored. A late one waits for the lapse all the same: whoever stored
-// it need not know of all coordinators that may have started the task again.
+// ConfirmStored tells that completions are stored. A late completion waits for the lease to expire all
+// the same: the coordinator that stored it may not know of all coordinators that may have started the
+// task again.
 func (e *Executor) ConfirmStored(now time.Duration, runs []task.RunRef) {
 	for _, w := range e.order {
 		if len(w.unacknowledged) == 0 {
@@ -136,7 +140,8 @@
 	}
 }
 
-// MarkSuperseded tells of ends whose tasks were started again before the ends were known.
+// MarkSuperseded marks completions as late whose tasks were started again before the completions were
+// known.
 func (e *Executor) MarkSuperseded(runs []task.RunRef) {
 	for _, w := range e.order {
 		for n, h := range w.unacknowledged {
@@ -148,10 +153,10 @@
 	}
 }
 
-// ApplyJobStates settles ends of jobs that were never kept. Those of kept jobs are settled by their
-// coordinators alone, who know whether the task was started again after the end: a job that has
-// ended meanwhile shows neither that this end was known nor by whom. State tells what the store
-// showed of a job at some time after asked.
+// ApplyJobStates releases completions of jobs that were never durable. Only a durable job's coordinator
+// can release its completions, as it knows whether the task was started again after the completion. That
+// the job has ended meanwhile shows neither that this completion was known nor to whom. The state function
+// returns what the store showed of a job at some time after asked.
 func (e *Executor) ApplyJobStates(now, asked time.Duration, state func(job string) JobState) {
 	for _, w := range e.order {
 		for n, h := range w.unacknowledged {
@@ -168,8 +173,8 @@
 	}
 }
 
-// ownerOfEndsLost notes that the coordinator of held ends is out of sight. When that lasts,
-// another may look after the job and start the tasks again: the ends are late then.
+// markOwnerLost notes that the coordinator of unacknowledged completions is unreachable. If that lasts,
+// another coordinator may take the job over and start its tasks again; the completions are late then.
 func (e *Executor) markOwnerLost(now time.Duration, w *worker, owner member.Process) {
 	for n, h := range w.unacknowledged {
 		if h.owner == owner && h.ownerLostAt == 0 {
@@ -179,7 +184,8 @@
 	}
 }
 
-// ageEnds marks ends as late whose coordinator is out of sight for endWait.
+// markLateCompletions marks completions as late whose coordinator has been unreachable for
+// lostOwnerTimeout.
 func (w *worker) markLateCompletions(now time.Duration) {
 	for n, h := range w.unacknowledged {
 		if h.ownerLostAt > 0 && now-h.ownerLostAt >= lostOwnerTimeout && !h.late {
@@ -189,8 +195,8 @@
 	}
 }
 
-// lapseIdle lets the lease of a worker with late ends lapse: it gets no new runs, and when
-// nothing runs there any more and the last lease is over, the ends are acknowledged.
+// expireIdleLease lets the lease of a worker with late completions expire. The worker gets no new runs.
+// Once nothing runs there any more and the last lease has expired, the completions are acknowledged.
 func (e *Executor) expireIdleLease(now time.Duration, w *worker) {
 	w.markLateCompletions(now)
 	if w.awaitsLeaseExpiry() && len(w.runs) == 0 && (w.clock.ms > w.grantedUntil || now >= w.leasesExpiredBy()) {
@@ -199,7 +205,7 @@
 	}
 }
 
-// lapsing reports whether the worker's lease is to lapse.
+// awaitsLeaseExpiry reports whether the worker's lease has to expire, as it has late completions.
 func (w *worker) awaitsLeaseExpiry() bool {
 	for _, h := range w.unacknowledged {
 		if h.late {
@@ -209,7 +215,7 @@
 	return false
 }
 
-// askUnsettled asks for ApplyJobStates when it is time to look ends up.
+// requestJobStates requests the states of jobs whose completions are due for a look-up.
 func (e *Executor) requestJobStates(now time.Duration) {
 	for _, w := range e.order {
 		for _, h := range w.unacknowledged {
@@ -220,8 +226,8 @@
 	}
 }
 
-// WithdrawDurable takes tasks of kept jobs back from a coordinator that may not order them any
-// more: what waits is dropped and what runs is stopped, and its end is kept for the next.
+// WithdrawDurable takes tasks of durable jobs back from a coordinator that may not order them any more. It
+// drops tasks that wait and stops those that run, and keeps their completions for the successor.
 func (e *Executor) WithdrawDurable(now time.Duration, owner member.Process, ids []task.ID) {
 	for _, id := range ids {
 		e.queue = slices.DeleteFunc(e.queue, func(q *queuedTask) bool { return q.owner == owner && q.task.ID == id })
@@ -234,9 +240,9 @@
 	e.schedule(now)
 }
 
-// Reconcile tells a coordinator what is known here of kept jobs that it looks after. Of each
-// worker concerned all is told, runs and ends that are not settled: what is not in such a
-// list is over. What waits is given back, as it has not run.
+// Reconcile tells a coordinator what this executor knows of durable jobs that it looks after. For each
+// worker concerned it lists all runs and all unacknowledged completions. The coordinator takes a run that
+// is not listed as over. Tasks that wait are returned, as they have not run.
 func (e *Executor) Reconcile(now time.Duration, by member.Process, jobs []string) {
 	affected := func(id task.ID) bool { return slices.Contains(jobs, id.Job) }
 	e.queue = slices.DeleteFunc(e.queue, func(q *queuedTask) bool {
@@ -272,7 +278,7 @@
 	e.schedule(now)
 }
 
-// endOrphans stops kept runs that no coordinator has claimed in time.
+// stopOrphans stops runs of durable jobs that no coordinator has claimed in time.
 func (e *Executor) stopOrphans(now time.Duration, w *worker) {
 	for _, r := range w.sortedRuns() {
 		if r.orphanedAt > 0 && now-r.orphanedAt >= OrphanTimeout && r.state != stopping {
@@ -282,7 +288,7 @@
 	}
 }
 
-// crowded reports whether as many tasks of the step run on the worker as may.
+// atStepLimit reports whether the worker runs as many tasks of the step as it may.
 func (w *worker) atStepLimit(t *task.Task) bool {
 	if t.PerWorker <= 0 {
 		return false
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -10,12 +10,13 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// queued is a task that waits for room.
+// queuedTask is a task that waits for free capacity.
 type queuedTask struct {
 	task       *task.Task
 	owner      member.Process
 	enqueuedAt time.Duration
-	// reserved: the task waits at another executor, and is only to be told of room here.
+	// reserved: the task waits at another executor. This executor only tells the coordinator when
+	// it has capacity for the task.
 	reserved bool
 }
 
@@ -25,40 +26,39 @@
 	workers map[string]*worker
 	order   []*worker // by ID, for repeatable decisions
 	queue   []*queuedTask
-	// holds are the room that is kept for tasks which wait elsewhere.
+	// capacityHolds is the capacity held for tasks that wait at other executors.
 	capacityHolds []capacityHold
-	// answers is how long workers take to answer orders.
+	// orderLatency estimates how long workers take to answer orders.
 	orderLatency latencyEstimate
-	// usual is the pace of all workers in use here, by service; toldUsual that of all holders'
-	// workers, where it is known.
+	// usual is the mean slowdown of the workers in use here, by service. medianSlowdowns is the median
+	// slowdown among all holders' workers as a logarithm, for the services for which it is known.
 	usual           map[string]slowdownMean
 	medianSlowdowns map[string]float64
-	// steps are what tasks have shown lately, by step.
+	// steps holds what recent tasks have shown of their workers' speed, by step of the job.
 	steps map[stepKey]*stepStats
-	// retired are the failure domains whose workers get no new runs.
+	// retired holds the failure domains whose workers get no new runs.
 	retired map[string]bool
-	// left is when runs of lost coordinators were last left to other holders.
+	// runsLeftAt is when this executor last left a run of a lost coordinator to a worker's next holder.
 	runsLeftAt map[member.Process]time.Duration
-	// tenures counts the tenures of workers that have begun.
+	// epochs counts the holding epochs that this executor has begun, over all workers.
 	epochs uint64
 	output Output
 }
 
-// New returns an executor that holds nothing.
+// New returns an executor that holds no workers.
 func New(c Config) *Executor {
 	return &Executor{config: c.withDefaults(), workers: make(map[string]*worker), usual: make(map[string]slowdownMean), steps: make(map[stepKey]*stepStats), runsLeftAt: make(map[member.Process]time.Duration)}
 }
 
-// Drain returns what the embedder has to carry out since the last call.
+// Drain returns what the embedder has to carry out, collected since the last call.
 func (e *Executor) Drain() Output {
 	o := e.output
 	e.output = Output{}
 	return o
 }
 
-// SetWorkers tells which workers this daemon is assigned. A worker that is no longer
-// assigned stays in use until another holder takes it; a worker that the registry
-// dropped is gone is told by Remove.
+// SetWorkers sets the workers that are assigned to this daemon. A worker that is no longer assigned
+// stays in use until another holder takes it. Remove handles workers that the registry has removed.
 func (e *Executor) SetWorkers(now time.Duration, assigned []WorkerInfo) {
 	assignedIDs := make(map[string]bool, len(assigned))
 	for _, i := range assigned {
@@ -90,7 +90,7 @@
 	}
 }
 
-// Update refreshes what the registry tells of a worker that is in use, assigned or not.
+// Update refreshes the registry's data of a worker in use, assigned or not.
 func (e *Executor) Update(now time.Duration, i WorkerInfo) {
 	w := e.workers[i.ID]
 	if w == nil || !e.acceptEntry(now, w, i) {
@@ -102,14 +102,14 @@
 	w.info, w.retired = i, e.retired[i.Domain]
 }
 
-// Remove forgets workers that the registry no longer shows: they have left.
+// Remove forgets the workers that have left, as the registry no longer lists them.
 func (e *Executor) Remove(now time.Duration, gone func(id string) bool) {
 	for _, w := range slices.Clone(e.order) {
 		if !gone(w.info.ID) {
 			continue
 		}
 		if len(w.runs) > 0 && now < w.leasesExpiredBy() {
-			// The entry may have lapsed while the worker runs on: its runs end with the lease.
+			// The entry may have expired while the worker runs on. Its runs end with the lease.
 			w.info.Draining = true
 			continue
 		}
@@ -121,16 +121,16 @@
 
 func (e *Executor) removeWorker(w *worker) {
 	delete(e.workers, w.info.ID)
-	// A task started in room that is held here would run unwatched: answers of a forgotten worker
-	// aren't read.
+	// A task started in held capacity would run unsupervised: the executor does not read the
+	// answers of a worker that it has forgotten.
 	e.releaseHolds(func(h capacityHold) bool { return h.worker == w })
 	e.forgetSlowdown(w)
 	e.output.DroppedWorkers = append(e.output.DroppedWorkers, w.info.ID)
 	e.order = slices.DeleteFunc(e.order, func(o *worker) bool { return o == w })
 }
 
-// Offer takes tasks of a coordinator. Each ends in a report of NotRun, Done, Failed,
-// Terminated or Moved, unless it is withdrawn.
+// Offer takes tasks of a coordinator. Each task ends in a report of NotRun, Done, Failed,
+// Terminated or Moved, unless the coordinator withdraws it.
 func (e *Executor) Offer(now time.Duration, owner member.Process, tasks []task.Task) {
 	for i := range tasks {
 		q := &queuedTask{task: &tasks[i], owner: owner, enqueuedAt: now}
@@ -143,8 +143,8 @@
 	e.returnNoWait(now)
 }
 
-// returnTaken gives back tasks that were to start at once and found no room: their
-// coordinators' idea of it was out of date.
+// returnNoWait returns the tasks that were to start at once and found no free capacity: their
+// coordinators' view of this executor's capacity was outdated.
 func (e *Executor) returnNoWait(now time.Duration) {
 	e.queue = slices.DeleteFunc(e.queue, func(q *queuedTask) bool {
 		if !q.task.NoWait || q.reserved {
@@ -155,7 +155,7 @@
 	})
 }
 
-// Reclaim gives tasks back that still wait.
+// Reclaim returns tasks that still wait to their coordinator.
 func (e *Executor) Reclaim(now time.Duration, owner member.Process, ids []task.ID) {
 	e.queue = slices.DeleteFunc(e.queue, func(q *queuedTask) bool {
 		if q.owner != owner || q.reserved || !slices.Contains(ids, q.task.ID) {
@@ -175,26 +175,27 @@
 	e.emitReport(q.owner, r)
 }
 
-// before orders the queue: tasks within their shares go first, of those the ones that have to
-// start soonest, and among equals the more urgent queue.
+// compareQueued orders the queue. Tasks within their shares come first. Of those, the task with the
+// earliest latest start comes first; a step of priority shifts that by priorityStep.
 func compareQueued(a, b *queuedTask) int {
 	if order := cmp.Or(task.CompareOverShare(a.task, b.task), cmp.Compare(a.latestStart(), b.latestStart()), cmp.Compare(a.enqueuedAt, b.enqueuedAt)); order != 0 {
-		return order // most differ by then; an ID's text is costly
+		return order // most tasks differ by here; formatting an ID is costly
 	}
 	return cmp.Compare(a.task.ID.String(), b.task.ID.String())
 }
 
-// urgency is the latest start that keeps the job on time; a step of priority counts as
-// priorityStep.
+// latestStart is the latest start that keeps the job on time, shifted by priorityStep for each step
+// of priority.
 func (q *queuedTask) latestStart() time.Duration {
 	return q.task.Due - q.task.ExpectedRunTime + time.Duration(q.task.Priority)*priorityStep
 }
 
-// priorityStep is what one step of priority is worth in waiting time.
+// priorityStep is the waiting time that one step of priority is worth.
 const priorityStep = 20 * time.Millisecond
 
-// Withdraw takes tasks back: what waits is dropped, what runs is stopped. With confirm each
-// task is reported when nothing of it is here any more; else nothing is.
+// Withdraw takes tasks back for their coordinator: it drops tasks that wait and stops those that
+// run. With confirm, the executor reports each task once nothing of it is left here; without,
+// it reports nothing.
 func (e *Executor) Withdraw(now time.Duration, owner member.Process, ids []task.ID, confirm bool) {
 	for _, id := range ids {
 		e.queue = slices.DeleteFunc(e.queue, func(q *queuedTask) bool { return q.owner == owner && q.task.ID == id })
@@ -214,8 +215,9 @@
 	e.schedule(now)
 }
 
-// HandleOwnerLost stops all that runs for a coordinator that is gone: its callers are told
-// nothing any more and will submit again, and the same task must not run twice then.
+// HandleOwnerLost stops all runs of a lost coordinator, except those of durable jobs. The callers
+// get no answers from it any more and will submit their jobs again, and a task must not run twice
+// at a time.
 func (e *Executor) HandleOwnerLost(now time.Duration, owner member.Process) {
 	e.queue = slices.DeleteFunc(e.queue, func(q *queuedTask) bool { return q.owner == owner })
 	e.releaseHolds(func(h capacityHold) bool { return h.owner == owner })
@@ -238,7 +240,7 @@
 	e.schedule(now)
 }
 
-// discard stops a run that nobody waits for, and says why.
+// discard stops a run whose result nobody waits for, and logs why.
 func (e *Executor) discard(now time.Duration, w *worker, r *run, why string) {
 	r.discarded = true
 	e.output.Events = append(e.output.Events, Event{
@@ -247,7 +249,7 @@
 	e.sendStop(now, w, r)
 }
 
-// stop orders a run to end.
+// sendStop orders the worker to stop a run.
 func (e *Executor) sendStop(now time.Duration, w *worker, r *run) {
 	r.state = stopping
 	r.stopSentAt = now
@@ -262,7 +264,7 @@
 	e.output.Calls = append(e.output.Calls, c)
 }
 
-// Tick lets time pass. It is to be called at least every 50 ms while tasks wait or run.
+// Tick advances the time. The embedder calls it at least every 50 ms while tasks wait or run.
 func (e *Executor) Tick(now time.Duration) {
 	for _, w := range slices.Clone(e.order) {
 		e.tickWorker(now, w)
@@ -273,31 +275,32 @@
 	e.schedule(now)
 }
 
-// Reasons of reports of NotRun and Terminated.
+// Reasons of reports with the outcome NotRun or Terminated.
 const (
-	// ReasonNoCapacity: the task waited for room until its last useful start.
+	// ReasonNoCapacity: the task found no free capacity until its last useful start.
 	ReasonNoCapacity = "no_room_in_time"
 	// ReasonNoWorker: this executor holds no worker that may run the task.
 	ReasonNoWorker = "no_worker"
-	// ReasonCapacityTaken: the task was to start at once, and there is no room now.
+	// ReasonCapacityTaken: the task was to start at once, and no worker has capacity for it now.
 	ReasonCapacityTaken = "room_taken"
-	// ReasonLaterEpoch: only workers taken since its coordinator last heard of this executor may run it.
+	// ReasonLaterEpoch: the only workers that can run the task were taken after the coordinator's
+	// last update from this executor.
 	ReasonLaterEpoch = "later_tenure"
-	// ReasonReclaimed: its coordinator has found room elsewhere.
+	// ReasonReclaimed: the coordinator has found capacity elsewhere.
 	ReasonReclaimed = "reclaimed"
-	// ReasonWorkerDied, ReasonWorkerRestarted and ReasonWorkerRemoved are reasons of reports of Terminated: the worker went
-	// down with the run. Another incarnation answers, it is back under its ID, or its entry has
-	// vanished.
+	// ReasonWorkerDied, ReasonWorkerRestarted and ReasonWorkerRemoved are reasons of reports of Terminated:
+	// the run ended with its worker. Another incarnation answers at the worker's address, the worker
+	// has restarted under its ID, or its registry entry was removed.
 	ReasonWorkerDied      = "worker_died"
 	ReasonWorkerRestarted = "worker_reborn"
 	ReasonWorkerRemoved   = "worker_removed"
-	// ReasonWithdrawn: its coordinator has taken it back.
+	// ReasonWithdrawn: the coordinator has withdrawn the task.
 	ReasonWithdrawn = "withdrawn"
-	// ReasonReconciled: a coordinator has asked for what is known of its job.
+	// ReasonReconciled: a coordinator has asked which runs of the job this executor still has.
 	ReasonReconciled = "recalled"
 )
 
-// expire gives back tasks that wait beyond their last useful start, and those that no
+// returnExpired returns tasks that have waited beyond their last useful start, and tasks that no
 // worker left here may run.
 func (e *Executor) returnExpired(now time.Duration) {
 	e.queue = slices.DeleteFunc(e.queue, func(q *queuedTask) bool {
@@ -315,7 +318,7 @@
 	})
 }
 
-// canServe reports whether a worker in use, or about to be, may run the task.
+// canServe reports whether a worker that is in use, or is being taken, may run the task.
 func (e *Executor) canServe(t *task.Task) bool {
 	return slices.ContainsFunc(e.order, func(w *worker) bool { return w.availableFor(t) })
 }
@@ -332,13 +335,13 @@
 	e.output.Events = append(e.output.Events, ev)
 }
 
-// step starts what fits, and holds room for what waits elsewhere.
+// schedule starts the tasks that fit, and holds capacity for those that wait elsewhere.
 func (e *Executor) schedule(now time.Duration) {
 	e.releaseHolds(func(h capacityHold) bool { return now >= h.expiresAt })
 	remaining, bounds := e.queue[:0], e.capacityBounds(now)
 	for _, q := range e.queue {
-		// In an overload hardly any task that waits has room, or it has it on slow workers only, which
-		// stand free. With a search for each at each step, ends would be noticed late.
+		// In an overload hardly any task that waits fits on a worker, or it fits only on idle slow
+		// workers. A search for each task at each step would delay the reading of completions.
 		if bounds.mayPlace(now, q.task) {
 			if w := e.place(now, q.task); w != nil {
 				e.startOrHoldCapacity(now, w, q)
--- a/executor/latency.go
+++ b/executor/latency.go
@@ -3,29 +3,29 @@
 import "time"
 
 const (
-	// maxOrderTime is how long an answer to a start or a stop is waited for at most. What was
-	// lost, or comes late, is asked after by a look at the worker's lists, which costs little.
+	// maxOrderTimeout is the longest wait for an answer to a start or a stop. If the answer is lost or
+	// late, an extra poll of the worker's lists finds out what happened, at little cost.
 	maxOrderTimeout = 150 * time.Millisecond
-	// minOrderTime is the least such time: a worker takes a few ms, and a daemon on a fifth of
-	// a core may stand still for some tens.
+	// minOrderTimeout is the shortest such wait. A worker answers within a few ms, but a daemon on a
+	// fifth of a core may stand still for some tens of ms.
 	minOrderTimeout = 60 * time.Millisecond
-	// minSuspicion is the least time after which a start without an answer is asked after,
-	// beside the order, which is waited for on. A worker takes a few ms. The question costs one
-	// look at the worker, and settles by itself what the order's answer would have; so it can
-	// be asked sooner than an order can be given up. Asked too soon, starts that a busy machine
-	// holds up would be barred as they come, and their tasks started once more.
+	// minSuspicionDelay is the least time after which an extra poll asks about a start without an
+	// answer. The wait for the start's answer goes on meanwhile. A worker answers within a few ms. The
+	// extra poll is cheap and settles by itself what the start's answer would have settled, so it may
+	// come sooner than the start's time-out. If it came too soon, the executor would stop starts that a
+	// busy machine delays just as they arrive, and start their tasks a second time.
 	minSuspicionDelay = 30 * time.Millisecond
-	// answerGain and deviationGain are the weights of one answer in the mean time and in the
-	// mean deviation, deviations how many of these are added; as TCP does for its round trips,
-	// with two more, as an order that is given up costs its connection too.
+	// answerGain and deviationGain are the weights of one answer in the mean and in the mean deviation,
+	// as in TCP's round-trip estimate. deviationCount is how many deviations are added to the mean. It
+	// is two more than in TCP, as an order that times out costs its connection too.
 	answerGain     = 0.125
 	deviationGain  = 0.25
 	deviationCount = 6
 )
 
-// answerTime is how long workers take to answer orders. Orders that are not answered are
-// found out by it: a tenth of a second sooner is, for jobs of some hundred ms, the
-// difference between on time and late. The zero value knows nothing.
+// latencyEstimate estimates how long workers take to answer orders. It sets how soon the executor
+// looks into orders without an answer: for jobs of some hundred ms, a tenth of a second sooner decides
+// whether they are on time. The zero value has no observations.
 type latencyEstimate struct{ mean, deviation time.Duration }
 
 func (a *latencyEstimate) observe(d time.Duration) {
@@ -37,10 +37,10 @@
 	a.mean += time.Duration(answerGain * float64(d-a.mean))
 }
 
-// limit is how long an answer is waited for.
+// timeout is how long to wait for an answer.
 func (a *latencyEstimate) timeout() time.Duration { return a.boundedBelow(minOrderTimeout) }
 
-// suspicion is the time after which a start without an answer is asked after.
+// suspicionDelay is the time after which an extra poll asks about a start without an answer.
 func (a *latencyEstimate) suspicionDelay() time.Duration { return a.boundedBelow(minSuspicionDelay) }
 
 func (a *latencyEstimate) boundedBelow(least time.Duration) time.Duration {
--- a/executor/messages.go
+++ b/executor/messages.go
@@ -8,13 +8,13 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// WorkerInfo is what the registry tells of a worker.
+// WorkerInfo is the registry's data of a worker.
 type WorkerInfo struct {
-	// ID names the worker. A worker that has crashed may come back under another ID or under
-	// the same one.
+	// ID names the worker. A worker that has crashed may restart under another ID or under the same
+	// one.
 	ID string
-	// Incarnation is when this life of the worker began, in ms since the Unix epoch by the worker's
-	// own clock; 0: not told.
+	// Incarnation is the start time of this incarnation of the worker, in ms since the Unix epoch by
+	// the worker's own clock; 0: not known.
 	Incarnation int64
 	Address     string
 	Service     string
@@ -32,34 +32,35 @@
 const (
 	CallStart CallKind = iota + 1
 	CallStop
-	// CallPoll extends the lease, acknowledges ends and reads what runs.
+	// CallPoll extends the lease, acknowledges completions and reads the worker's lists.
 	CallPoll
 )
 
-// Call is an order that the embedder sends to a worker. Each is answered by exactly one
-// call of HandleAnswer.
+// Call is an order that the embedder sends to a worker. The embedder answers each Call by exactly
+// one call of HandleAnswer.
 type Call struct {
 	Kind    CallKind
 	Worker  string
 	Address string
 	Token   uint64
-	// Task and Run are set for starts and stops; of a stop's task only the ID.
+	// Task and Run are set for starts and stops; a stop has only the task's ID.
 	Task *task.Task
 	ID   task.ID
 	Run  uint32
-	// Deadline is the lease's end in ms on the worker's clock; 0 in a poll that doesn't extend it.
+	// Deadline is the lease's end in ms on the worker's clock; 0 in a poll that does not extend it.
 	Deadline int64
-	// Acknowledge is the number of the last end that was read.
+	// Acknowledge is the number of the last completion that was read.
 	Acknowledge uint64
-	// Wait is how long the worker may hold a poll until something ends.
+	// Wait is how long the worker may hold a poll until a run ends.
 	Wait time.Duration
-	// Timeout is how long the answer to a start or a stop is waited for.
+	// Timeout is how long the embedder waits for the answer to a start or a stop.
 	Timeout time.Duration
-	// look marks a poll beside the standing one.
+	// extra marks a poll beside the standing one.
 	extra bool
-	// probe marks a poll without a token, which the worker doesn't obey.
+	// probe marks a poll without a token, which does not take the worker.
 	probe bool
-	// sent is when the call was emitted, and clock the latest reading of the worker's clock then.
+	// sentAt is when the call was emitted, and workerClock the latest reading of the worker's clock
+	// then.
 	sentAt      time.Duration
 	workerClock int64
 }
@@ -69,25 +70,25 @@
 
 // Verdicts.
 const (
-	// OK: carried out.
+	// OK: the worker carried it out.
 	OK Verdict = iota + 1
-	// Unknown: no answer; it may have been carried out, or may be later.
+	// Unknown: no answer. The worker may have carried it out, or may do so later.
 	Unknown
-	// Unsent: nothing was sent.
+	// Unsent: the embedder sent nothing.
 	Unsent
-	// Unhealthy: the worker did nothing and says it is not well.
+	// Unhealthy: the worker did nothing and answers that it is unhealthy.
 	Unhealthy
-	// Replaced: another incarnation of the worker answered, or none listens there.
+	// Replaced: another incarnation of the worker answered, or none listens at the address.
 	Replaced
 	// Fenced: the worker obeys a higher token.
 	Fenced
-	// Outdated: a run of this number or a higher one has ended on the worker.
+	// Outdated: a run with this number or a higher one has ended on the worker.
 	Outdated
 	// Late: the deadline has passed on the worker's clock.
 	Late
-	// Full: the worker has no room.
+	// Full: the worker has no capacity for the task.
 	Full
-	// Invalid: the worker doesn't take the order at all.
+	// Invalid: the worker does not accept such an order at all.
 	Invalid
 )
 
@@ -101,15 +102,15 @@
 	return verdictNames[0]
 }
 
-// Completion is one entry of a worker's list of ends.
+// Completion is one entry of a worker's list of ended runs.
 type Completion struct {
 	Number uint64
 	task.RunningTask
-	// Result is the worker's word, for logs.
+	// Result is the worker's own word for how the run ended, for logs.
 	Result string
 }
 
-// ListedRun is one run in a worker's list.
+// ListedRun is one run in a worker's list of running tasks.
 type ListedRun struct {
 	task.RunningTask
 	// Percent is the progress.
@@ -119,35 +120,36 @@
 // Answer is a worker's answer to a Call.
 type Answer struct {
 	Verdict Verdict
-	// Clock is the worker's clock in ms; 0 when it wasn't told.
+	// Clock is the worker's clock in ms; 0 if the answer does not state it.
 	Clock int64
-	// Incarnation is when the life that answers began; 0 when it wasn't told.
+	// Incarnation is the start time of the incarnation that answers; 0 if the answer does not state it.
 	Incarnation int64
 	Running     []ListedRun
 	Completions []Completion
 }
 
-// OwnedReport is a report with the coordinator it is for.
+// OwnedReport is a report with the coordinator that it is for.
 type OwnedReport struct {
 	Owner member.Process
 	task.Report
 }
 
-// Takeover asks all coordinators which runs of a worker are theirs.
+// Takeover asks coordinators which runs of a worker are theirs.
 type Takeover struct {
-	// To is the coordinator that has asked by Reconcile; the zero value is for all.
+	// To is the coordinator that called Reconcile; the zero value stands for all coordinators.
 	To        member.Process
 	Worker    string
 	Running   []task.RunningTask
 	Completed []task.RunningTask
-	// Epoch is the number of this executor's tenure of the worker, Token the fencing token that the
-	// worker obeys in it; 0: not told.
+	// Epoch is the number of this executor's holding epoch of the worker, and Token the fencing token
+	// that the worker obeys in it; 0: not known.
 	Epoch, Token uint64
-	// Reconciliation: it answers Reconcile, and its lists are of now, not of when the tenure began.
+	// Reconciliation: the message answers Reconcile. Its lists show the present state, and not that
+	// at the start of the epoch.
 	Reconciliation bool
 }
 
-// Claims is a coordinator's reply to a Takeover: those of its tasks that may run there.
+// Claims is a coordinator's reply to a Takeover: those of its tasks that may run on the worker.
 type Claims struct {
 	Owner  member.Process
 	Worker string
@@ -160,35 +162,36 @@
 	Reports   []OwnedReport
 	Takeovers []Takeover
 	Events    []Event
-	// DroppedWorkers are workers that have left; nothing is ordered of them any more.
+	// DroppedWorkers are workers that have left. The executor sends them no more orders.
 	DroppedWorkers []string
-	// JobsToLookUp lists jobs whose ends are held and whose state is asked for, by ApplyJobStates.
+	// JobsToLookUp lists jobs with unacknowledged completions. The embedder reads their states from
+	// the store and passes them to ApplyJobStates.
 	JobsToLookUp []string
 }
 
-// Event is a decision or a changed belief, for the log.
+// Event is a decision or a change of the executor's view, for the log.
 type Event struct {
 	Name   string
 	ID     task.ID
 	Run    uint32
 	Worker string
 	Detail string
-	// Age is how old the decisive input is.
+	// Age is the age of the decisive input.
 	Age time.Duration
 }
 
-// Names of events; all are in docs/OPERATIONS.md.
+// Names of events. docs/OPERATIONS.md lists them all.
 const (
 	EventStarted          = "run_started"
 	EventEnded            = "run_ended"
 	EventRequeued         = "task_requeued"
 	EventTaskReturned     = "task_given_back"
 	EventCapacityReserved = "room_held"
-	// EventDiscarded: a run is stopped, as its coordinator doesn't want it any more or is lost.
+	// EventDiscarded: the executor stops a run, as its coordinator is lost or no longer wants it.
 	EventDiscarded = "run_discarded"
 )
 
-// WorkerCapacity is what a worker has left.
+// WorkerCapacity is the free and total capacity of one worker, as coordinators are told it.
 type WorkerCapacity struct {
 	Worker  string
 	Service string
@@ -196,11 +199,11 @@
 	Domain string
 	Free   capacity.Vector
 	Total  capacity.Vector
-	// Open is false while the worker gets no new runs; Usable tells that it will soon.
+	// Open is false while the worker gets no new runs. Usable tells that it accepts them now or soon.
 	Open, Usable bool
-	// Slowdown is how many times as long as declared runs take on the worker; 0: not known.
+	// Slowdown is how many times the declared time runs take on the worker; 0: not known.
 	Slowdown float64
-	// Epoch is the number of this executor's tenure of the worker, Token the fencing token that the
-	// worker obeys in it; 0: not told.
+	// Epoch is the number of this executor's holding epoch of the worker, and Token the fencing token
+	// that the worker obeys in it; 0: not known.
 	Epoch, Token uint64
 }
--- a/executor/place.go
+++ b/executor/place.go
@@ -9,14 +9,14 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// declaredMargin is how many times as long as declared a task is taken to run at most when it is
-// to be in time on a slow worker: what is declared is off by half.
+// estimateMargin is how many times its declared time a task is assumed to take at most, when the
+// executor decides whether it will be on time on a slow worker. Declared times are off by half.
 const estimateMargin = 1.3
 
-// place returns the open worker for a task: one that it has not failed on, where there is a
-// choice; one on which it will be in time, or else the fastest; and of those the one with the
-// least room that it fits into, so that large tasks find room elsewhere. A task that would be
-// late by the worker's speed alone waits while it can be on time otherwise.
+// place returns the worker on which to start a task, or nil. It prefers workers on which the task
+// has not failed, then workers on which the task will be on time, else the fastest, and of those the
+// one with the least free capacity, so that large tasks find room elsewhere. A task that would be
+// late only because of the worker's speed waits while it can be on time on another worker.
 func (e *Executor) place(now time.Duration, t *task.Task) *worker {
 	var best *worker
 	var bestKey placeKey
@@ -46,18 +46,18 @@
 	return e.hasCapacity(now, w, t) && w.inKnownEpoch(t)
 }
 
-// hasRoom reports whether the worker has room for the task now.
+// hasCapacity reports whether the worker can start the task now, whatever its epoch.
 func (e *Executor) hasCapacity(now time.Duration, w *worker, t *task.Task) bool {
-	// The room first: it is what most workers lack, and the cheapest to ask.
+	// Free capacity first: most workers lack it, and it is the cheapest check.
 	return t.Demand.Fits(w.freeCapacity()) && w.canRun(t) && w.acceptsRuns(now) && w.runs[t.ID] == nil && !w.atStepLimit(t)
 }
 
-// roomLeft bounds what place can find, without a look at each worker.
+// capacityBounds bounds what place can find, without a look at each worker.
 type capacityBounds struct {
-	// usual and slow bound, in each dimension, what is left on any one worker that takes new runs:
-	// on those that aren't slow, and on those slow ones where it is more.
+	// notSlow and slow are upper bounds, in each dimension, of the free capacity on any one worker
+	// that accepts runs: notSlow for workers that are not slow, slow for slow workers that have more.
 	notSlow, slow capacity.Vector
-	// least is the least slowness of the latter.
+	// minSlowness is the least slowness of the latter.
 	minSlowness float64
 }
 
@@ -80,8 +80,8 @@
 	return b
 }
 
-// mayTake is false only where place finds nothing: no worker has the room, or only ones that are so
-// slow that the task is withheld from them.
+// mayPlace returns false only where place finds nothing: no worker has the capacity, or only workers
+// that are so slow that the task is withheld from them.
 func (l *capacityBounds) mayPlace(now time.Duration, t *task.Task) bool {
 	if t.Demand.Fits(l.notSlow) {
 		return true
@@ -89,10 +89,10 @@
 	return t.Demand.Fits(l.slow) && (t.Label != "" || !TooSlow(now, t, l.minSlowness))
 }
 
-// placeKey ranks workers for a task; the least is the best.
+// placeKey ranks workers for a task; the least key is the best.
 type placeKey struct {
 	failed bool
-	// late is how many times as long as usual the task takes where it would be late by that.
+	// slownessIfLate is the worker's slowness if the task would be late because of it; else 0.
 	slownessIfLate float64
 	free           int64
 }
@@ -101,8 +101,8 @@
 	return placeKey{failed: slices.Contains(t.Avoid, w.info.ID), slownessIfLate: e.slownessIfLate(now, w, t), free: w.freeCapacity().MilliCPU}
 }
 
-// lateOn is how many times as long as usual the task takes on the worker where it would be late
-// by that; else 0.
+// slownessIfLate returns the worker's slowness if the task would be late on it because of that;
+// else 0.
 func (e *Executor) slownessIfLate(now time.Duration, w *worker, t *task.Task) float64 {
 	if slowness := e.slowness(w); wouldBeLate(now, t, slowness) {
 		return slowness
@@ -110,36 +110,37 @@
 	return 0
 }
 
-// lateBy reports whether the task is probably late on a worker that takes so many times as long
-// as usual.
+// wouldBeLate reports whether the task is probably late on a worker of this slowness, that is, one
+// that takes so many times as long as usual.
 func wouldBeLate(now time.Duration, t *task.Task, slowness float64) bool {
 	return slowness > 1 && endsAfter(now, t, slowness, t.Due)
 }
 
-// outlasts reports whether the task, started now where it takes so many times as long as usual,
-// probably ends after a time.
+// endsAfter reports whether the task, started now on a worker of this slowness, probably ends after
+// the given time.
 func endsAfter(now time.Duration, t *task.Task, slowness float64, by time.Duration) bool {
 	return now+time.Duration(estimateMargin*slowness*float64(t.ExpectedRunTime)) > by
 }
 
-// callerDeadline is when the task's caller gives up. Coordinators tell by when it may start, with
-// half of its time left.
+// callerDeadline is when the task's caller gives up. Coordinators set StartBy so that half of the
+// task's expected time is left then.
 func callerDeadline(t *task.Task) time.Duration { return t.StartBy + t.ExpectedRunTime/2 }
 
-// mayWait reports whether a task that starts later on a usual worker may still be on time.
+// canWait reports whether a task that starts later on a usual worker may still be on time.
 func canWait(now time.Duration, t *task.Task) bool {
 	return now+t.ExpectedRunTime <= t.Due
 }
 
-// TooSlow reports whether a worker that takes so many times as long as usual is no room for the
-// task: it is probably late there, and may be on time elsewhere.
+// TooSlow reports whether a worker of this slowness offers no useful capacity for the task: the task
+// is probably late there, and may be on time elsewhere.
 func TooSlow(now time.Duration, t *task.Task, slowness float64) bool {
 	return canWait(now, t) && wouldBeLate(now, t, slowness)
 }
 
-// withheld reports whether a task waits rather than start where it takes so many times as long
-// as usual: as long as it can be on time elsewhere, or when it would outlast its caller's
-// deadline and a faster worker is here. Of workers with a label only those here are known.
+// withheld reports whether a task waits rather than starts on a worker of this slowness. It waits
+// while it can be on time elsewhere. It also waits if it would outlast its caller's deadline here and
+// this executor has a faster worker. If the task needs a label, only this executor's workers count,
+// as those of others are not known.
 func (e *Executor) withheld(now time.Duration, t *task.Task, slowness float64) bool {
 	if canWait(now, t) && (t.Label == "" || e.hasFasterWorker(now, t)) {
 		return true
@@ -147,7 +148,7 @@
 	return !t.Durable && endsAfter(now, t, slowness, callerDeadline(t)) && e.hasFasterWorker(now, t)
 }
 
-// faster reports whether a worker in use would run the task as usual.
+// hasFasterWorker reports whether a worker in use would run the task at the usual speed.
 func (e *Executor) hasFasterWorker(now time.Duration, t *task.Task) bool {
 	return slices.ContainsFunc(e.order, func(w *worker) bool {
 		return w.usable() && w.canRun(t) && e.slowness(w) <= 1
--- a/executor/polls.go
+++ b/executor/polls.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// poll sends the standing poll of a worker. After some polls without an answer the lease
-// is no longer extended: if the worker runs on unseen, its runs end with the lease, and
-// only then are they safe to start elsewhere. Nor is it extended while a run is unclaimed:
-// its coordinator may be at the earlier holder's side of a partition, where the run counts
-// as over with the leases that the earlier holder granted.
+// poll sends the standing poll of a worker. It does not extend the lease after several polls without
+// an answer: if the worker runs on unobserved, its runs end with the lease, and only then are their
+// tasks safe to start elsewhere. It does not extend the lease while a run is unclaimed either. That
+// run's coordinator may be on the earlier holder's side of a partition, where the run counts as over
+// once the leases that the earlier holder granted have expired.
 func (e *Executor) poll(now time.Duration, w *worker) {
 	w.polling = true
 	c := Call{Kind: CallPoll, Acknowledge: w.nextAcknowledge(), Wait: idlePollWait}
@@ -28,7 +28,7 @@
 	e.emitCall(now, w, c)
 }
 
-// look reads the lists at once, beside the standing poll.
+// pollExtra polls the worker's lists at once, beside the standing poll.
 func (e *Executor) pollExtra(now time.Duration, w *worker) {
 	if w.extraPolling || w.phase != held && w.phase != claiming {
 		return
@@ -69,8 +69,8 @@
 	e.expireIdleLease(now, w)
 }
 
-// acquire takes a worker by a token above all that this process has used. One that could
-// not be reached before is asked first whether it obeys another holder.
+// acquire takes a worker by a token above all tokens that this process has used. If the worker could
+// not be reached before, acquire first asks it whether it obeys another holder.
 func (e *Executor) acquire(now time.Duration, w *worker) {
 	w.polling = true
 	if w.unreachable {
@@ -82,10 +82,11 @@
 	e.emitCall(now, w, Call{Kind: CallPoll})
 }
 
-// probed takes the answer of a worker that could not be reached before. If it obeys another
-// holder, a partition may just have ended: the holder has gone on beside it, and is linked
-// again in a moment. Taken at once, the worker would be given back then, and what ran there
-// would be stopped, as its coordinators are not linked yet and can't claim it.
+// handleProbeAnswer handles the answer of a worker that could not be reached before. If the worker
+// obeys another holder, a partition may just have ended: that holder kept the worker and will have
+// reconnected in a moment. Were this executor to take the worker at once, it would have to hand it
+// back then, and it would stop the worker's runs, as their coordinators are not connected yet and
+// cannot claim them.
 func (e *Executor) handleProbeAnswer(now time.Duration, w *worker, a Answer) {
 	w.polling = false
 	switch a.Verdict {
@@ -101,16 +102,16 @@
 	}
 }
 
-// lapsed reports the runs of a worker that is not heard from and whose leases are over.
+// handleLeaseExpired ends the runs of an unreachable worker whose leases have expired.
 func (e *Executor) handleLeaseExpired(now time.Duration, w *worker) {
 	e.emitEvent("lease_lapsed", w, nil, fmt.Sprintf("runs=%d silent=%s", len(w.runs), now-w.clock.at))
 	e.endAllRuns(now, w, "lease_lapsed")
 }
 
-// suspectStarts takes starts for doubtful that have been without an answer for so long, and
-// reports whether there were any. A worker that leaves an order unanswered may carry it out
-// seconds later; a look at its list tells whether it has, and a stop that it never will, so
-// that the task can start elsewhere while its caller would still be on time.
+// markUnanswered marks starts that have had no answer for that long as unanswered, and reports
+// whether there were any. A worker that does not answer an order may carry it out seconds later. The
+// worker's list shows whether it has, and a stop makes sure that it never will, so that the task can
+// start elsewhere while its caller would still be on time.
 func (w *worker) markUnanswered(now, timeout time.Duration) bool {
 	found := false
 	for _, r := range w.runs {
@@ -121,7 +122,7 @@
 	return found
 }
 
-// insist repeats stops that were not confirmed: an order without an answer may be lost.
+// repeatStops sends unconfirmed stops again, as an order without an answer may be lost.
 func (e *Executor) repeatStops(now time.Duration, w *worker) {
 	for _, r := range w.sortedRuns() {
 		state := r.state
@@ -132,8 +133,8 @@
 	}
 }
 
-// endStandstill stops runs that make no progress: the worker lists them for ever, and
-// without this their callers would wait to the deadline.
+// stopStalledRuns stops runs that make no progress. The worker lists such a run for ever, and its
+// caller would otherwise wait until its deadline.
 func (e *Executor) stopStalledRuns(now time.Duration, w *worker) {
 	for _, r := range w.sortedRuns() {
 		if r.state != running || r.task == nil || w.missedPolls > 0 {
@@ -150,24 +151,24 @@
 	}
 }
 
-// stopForRestart stops a run whose coordinator waits for the proof that it is over.
+// stopForRestart stops a run whose coordinator waits for proof that it is over.
 func (e *Executor) stopForRestart(now time.Duration, w *worker, r *run) {
 	e.sendStop(now, w, r)
 	w.nextExtraPollAt = now + e.config.StopTimeout
 }
 
 const (
-	// standstill is the time without progress after which a run is stopped, beside an
-	// eighth of its expected time. Lists come at least every overdueWait by then.
+	// stallTimeout is the time without progress after which a run is stopped. An eighth of its
+	// expected time is added. By then lists arrive at least every overduePollWait.
 	stallTimeout = 3 * overduePollWait
-	// standstillPause closes the worker of such a run.
+	// stallPause is how long the worker of a stalled run gets no new runs.
 	stallPause = time.Second
-	// overdueWait is the longest wait of a poll while a run makes no progress.
+	// overduePollWait is the longest wait of a poll while a run makes no progress.
 	overduePollWait = 100 * time.Millisecond
 )
 
-// overdue reports whether a run has made no progress for overdueWait: lists are then
-// asked for more often, so that a standstill is told from a long task soon.
+// hasOverdueRun reports whether a run has made no progress for overduePollWait. The executor then
+// asks for lists more often, to tell a stalled run from a long task soon.
 func (w *worker) hasOverdueRun(now time.Duration) bool {
 	for _, r := range w.runs {
 		if now-r.progressAt >= overduePollWait {
--- a/executor/probe.go
+++ b/executor/probe.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// probePause is the time after which a slow worker gets a task to see whether it still is
-	// slow; it doubles with each up to maxProbePause, as each may make a job late.
+	// minProbeInterval is the time after which a slow worker gets a probe: a task that shows whether it
+	// is still slow. The interval doubles with each probe up to maxProbeInterval, as each probe may
+	// make a job late.
 	minProbeInterval = 500 * time.Millisecond
 	maxProbeInterval = 4 * time.Second
-	// minProbe is the least time after which a probe's progress is read.
+	// minProbe is the least time after which the executor reads a probe's progress.
 	minProbe = 40 * time.Millisecond
-	// restartMargin is the time for a stopped run's proof to be read and for its task to be
-	// offered and started anew, beside the time that the worker may take to stop it.
+	// restartMargin is the time to read the proof that a stopped run is over, and to offer and start
+	// its task again. The time that the worker may take to stop the run is not part of it.
 	restartMargin = 25 * time.Millisecond
 )
 
-// probeFor returns a slow worker for which it is time to be tried, if the task can be on time
-// elsewhere when the try shows that the worker still is slow.
+// probeFor returns a slow worker that is due for a probe, if the task can still be on time elsewhere
+// in case the probe shows that the worker is still slow.
 func (e *Executor) probeFor(now time.Duration, t *task.Task) *worker {
 	listAfter := max(time.Duration(windowShare*float64(t.ExpectedRunTime)), minProbe)
 	if t.Durable || len(t.Avoid) > 0 || !e.restartable(now+listAfter+listSlack, t, t.Due) {
@@ -36,16 +37,17 @@
 	return nil
 }
 
-// lookSlack is how late a look at a probe's progress may come.
+// listSlack is how late the list that shows a probe's progress may come.
 const listSlack = 30 * time.Millisecond
 
-// restartable reports whether a task that is stopped at a time can end elsewhere by another.
+// restartable reports whether a task that is stopped at one time can end elsewhere by another time.
 func (e *Executor) restartable(at time.Duration, t *task.Task, by time.Duration) bool {
 	expected := time.Duration(math.Exp(e.usualFor(t.Service)) * float64(t.ExpectedRunTime))
 	return at+e.config.StopTimeout+restartMargin+expected <= by
 }
 
-// noteStart notes a start on a slow worker.
+// noteSlowStart marks a run that starts on a slow worker as a probe if its task can still be on time
+// elsewhere, and sets when the next probe is due.
 func (e *Executor) noteSlowStart(now time.Duration, w *worker, r *run) {
 	if r.task.Durable || e.slownessIfLate(now, w, r.task) == 0 {
 		return
@@ -57,10 +59,11 @@
 	}
 }
 
-// restartLate stops runs of a slow worker that will end late, and whose tasks can be on time on
-// another one that has room, or that would outlast their callers and need not elsewhere: once a
-// task, so that none goes round, and never of kept jobs, whose work is stored. Only the proof that
-// the run is over lets the task start again.
+// stopLateRuns stops runs of a slow worker that will end late. It stops a run if its task can be on
+// time on another worker that has the capacity, or if the run would outlast its caller's deadline and
+// need not do so elsewhere. It stops a task's run only once, so that no task circulates, and never
+// runs of durable jobs, whose work is stored. The task starts again only on proof that the run is
+// over.
 func (e *Executor) stopLateRuns(now time.Duration, w *worker) {
 	if e.slowness(w) <= 1 {
 		return
@@ -80,13 +83,14 @@
 	}
 }
 
-// foreseenEnd is when the run ends at its worker's pace.
+// predictedEnd is when the run ends at its worker's present slowdown.
 func (r *run) predictedEnd(now time.Duration, mean float64) time.Duration {
 	left := float64(100-min(r.percent, 100)) / 100 * math.Exp(mean)
 	return now + time.Duration(left*float64(r.task.ExpectedRunTime))
 }
 
-// roomBeside reports whether another worker has room on which the task would not be late.
+// hasCapacityElsewhere reports whether another worker has capacity for the task and would not make
+// it late.
 func (e *Executor) hasCapacityElsewhere(now time.Duration, w *worker, t *task.Task) bool {
 	return slices.ContainsFunc(e.order, func(o *worker) bool {
 		return o != w && e.eligible(now, o, t) && e.slownessIfLate(now, o, t) == 0
--- a/executor/reserve.go
+++ b/executor/reserve.go
@@ -9,21 +9,22 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// ReasonReserved is the reason of a report of NotRun for a reservation: there is room for the task
-// here, held for holdTime.
+// ReasonReserved is the reason of a report of NotRun for a reservation: this executor holds capacity
+// for the task for capacityHoldTime.
 const ReasonReserved = "room_reserved"
 
 const (
-	// holdTime is how long room is held for a task after its coordinator was told of it: until
-	// then it has been asked back from where it waits and offered here, four messages between
-	// daemons. Room that is held in vain, as its coordinator is cut off, is back after that.
+	// capacityHoldTime is how long the executor holds capacity after it told the task's coordinator.
+	// In this time the coordinator reclaims the task from the executor where it waits and offers it
+	// here, which takes four messages between daemons. If the coordinator is cut off, the capacity is
+	// free again after this time.
 	capacityHoldTime = 15 * time.Millisecond
-	// maxReservations bounds the reservations in a queue, each of which is tried at each step:
-	// under a storm of jobs further ones are left out, and their tasks wait where they are.
+	// maxReservations bounds the reservations in the queue, as each step tries each of them. When a
+	// burst of jobs exceeds it, further reservations are left out, and their tasks wait where they are.
 	maxReservations = 1000
 )
 
-// hold is room that is kept for a task that waits at another executor.
+// capacityHold is capacity held for a task that waits at another executor.
 type capacityHold struct {
 	id        task.ID
 	owner     member.Process
@@ -32,9 +33,9 @@
 	expiresAt time.Duration
 }
 
-// Reserve queues tasks that wait at other executors. Once there is room for one it is held for a
-// moment, and its coordinator is told by a report of NotRun, with ReasonReserved; nothing is started
-// before an Offer.
+// Reserve queues reservations for tasks that wait at other executors. Once there is capacity for a
+// task, the executor holds it for a moment and tells the task's coordinator by a report of NotRun
+// with ReasonReserved. It starts nothing before the coordinator offers the task.
 func (e *Executor) Reserve(now time.Duration, owner member.Process, tasks []task.Task) {
 	left := maxReservations - e.Reservations()
 	for i := range min(len(tasks), left) {
@@ -46,7 +47,7 @@
 	e.schedule(now)
 }
 
-// Unreserve drops reservations and what is held for them.
+// Unreserve drops reservations and the capacity held for them.
 func (e *Executor) Unreserve(now time.Duration, owner member.Process, ids []task.ID) {
 	for _, id := range ids {
 		e.dropReservation(owner, id)
@@ -55,7 +56,7 @@
 	e.schedule(now)
 }
 
-// Reservations returns the number of tasks that wait elsewhere and have a place in the queue here.
+// Reservations returns the number of reservations in the queue.
 func (e *Executor) Reservations() (n int) {
 	for _, q := range e.queue {
 		if q.reserved {
@@ -69,13 +70,13 @@
 	e.queue = slices.DeleteFunc(e.queue, func(q *queuedTask) bool { return q.reserved && q.owner == owner && q.task.ID == id })
 }
 
-// enqueue puts a task into its place in the queue.
+// enqueue inserts a task at its place in the queue.
 func (e *Executor) enqueue(q *queuedTask) {
 	at, _ := slices.BinarySearchFunc(e.queue, q, compareQueued)
 	e.queue = slices.Insert(e.queue, at, q)
 }
 
-// startOrHold uses the room that a worker has for what is next in the queue.
+// startOrHoldCapacity starts a task on the worker, or holds capacity there for a reservation.
 func (e *Executor) startOrHoldCapacity(now time.Duration, w *worker, q *queuedTask) {
 	if !q.reserved {
 		e.startTask(now, w, q)
@@ -87,8 +88,9 @@
 	e.emitReport(q.owner, task.Report{ID: q.task.ID, Run: q.task.Run, Outcome: task.NotRun, Worker: w.info.ID, Reason: ReasonReserved})
 }
 
-// startHeld starts an offered task where room is held for it. One that comes too late isn't
-// started, as its caller may have an answer by then; it is given back with what waits.
+// startOnHeldCapacity starts an offered task where capacity is held for it. It does not start a task
+// that comes too late, as its caller may have an answer by then. Such a task is returned like others
+// that have waited too long.
 func (e *Executor) startOnHeldCapacity(now time.Duration, q *queuedTask) bool {
 	e.dropReservation(q.owner, q.task.ID)
 	w := e.releaseHoldOf(q.owner, q.task.ID)
@@ -99,7 +101,7 @@
 	return true
 }
 
-// takeHold gives held room back and returns its worker; nil when none is held for the task.
+// releaseHoldOf releases the capacity held for a task and returns the worker; nil if none is held.
 func (e *Executor) releaseHoldOf(owner member.Process, id task.ID) (w *worker) {
 	e.releaseHolds(func(h capacityHold) bool {
 		if h.id != id || h.owner != owner {
--- a/executor/restart.go
+++ b/executor/restart.go
@@ -7,21 +7,24 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// EventReborn tells that a worker which has crashed is back under its ID, by the source that it
-// was learned from.
+// EventWorkerRestarted tells that a crashed worker has restarted under its ID, and which source showed
+// it.
 const EventWorkerRestarted = "worker_life_changed"
 
-// A worker may crash and come back under its ID. The new life runs nothing, has obeyed no
-// token, and counts its ends and its clock from the beginning. So a list of the new life, read
-// for the old one's, would prove runs over that may still begin: an order to the old life may
-// arrive seconds late, and the new one, which has seen no token, obeys it. An acknowledgement of
-// the old life's ends would have the new one forget ends that nobody has read. Therefore the
-// worker is taken over anew, under a higher token: from its answer on the new life refuses all
-// earlier orders, and its list is the truth.
+// A worker may crash and restart under its ID. The new incarnation runs nothing, has obeyed no token,
+// and numbers its completions and reads its clock from the start again. Two faults follow if the
+// executor takes it for the old incarnation:
+//   - A list of the new incarnation seems to prove that runs are over which may still begin. An order
+//     to the old incarnation may arrive seconds late, and the new one obeys it, as it has seen no token.
+//   - An acknowledgement of the old incarnation's completions makes the new one forget completions that
+//     nobody has read.
+//
+// The executor therefore takes the worker again, by a higher token. From its answer on, the new
+// incarnation refuses all earlier orders, and its list is reliable.
 
-// announced takes the life that an entry names and reports whether the entry is of the life
-// that is dealt with, or a later one. The entry of an earlier life may be read after a list of
-// the new one; the later birth decides.
+// acceptEntry takes the incarnation that a registry entry states. It reports whether the entry is of the
+// current incarnation or a later one. An entry of an earlier incarnation may be read after a list of the
+// new one; the incarnation with the later start time is the newer one.
 func (e *Executor) acceptEntry(now time.Duration, w *worker, i WorkerInfo) bool {
 	switch {
 	case i.Incarnation == 0 || i.Incarnation == w.incarnation:
@@ -35,9 +38,9 @@
 	return true
 }
 
-// attribute finds out which life of the worker has given an answer. One of an earlier life, or
-// the first of a new one, says nothing of the call's effect on the life that is dealt with: it
-// counts as none.
+// attributeAnswer finds out which incarnation of the worker has answered. An answer by an earlier
+// incarnation, or the first one by a new incarnation, shows nothing of the call's effect on the current
+// one. It counts as no answer.
 func (e *Executor) attributeAnswer(now time.Duration, w *worker, c Call, a Answer) Answer {
 	none := Answer{Verdict: Unknown}
 	switch {
@@ -50,16 +53,16 @@
 		e.handleRestart(now, w, a.Incarnation, "answer")
 		return none
 	case c.workerClock > 0 && a.Clock > 0 && a.Clock < c.workerClock && c.sentAt >= w.incarnationSince:
-		// A clock never goes back, so another life answers, though it doesn't say which.
+		// A clock never goes back, so another incarnation answers, though it does not state which.
 		e.handleRestart(now, w, 0, "clock")
 		return none
 	}
 	return a
 }
 
-// reborn acts on the news that the worker has crashed and is back under its ID. What the old
-// life has confirmed is over. Starts without an answer may still reach the new one; they are
-// decided when it has been taken over.
+// handleRestart handles a crash of the worker and its restart under its ID. Runs that the old
+// incarnation has confirmed are over. Starts without an answer may still reach the new incarnation; the
+// executor decides them once it has taken the worker.
 func (e *Executor) handleRestart(now time.Duration, w *worker, incarnation int64, source string) {
 	e.emitEvent(EventWorkerRestarted, w, nil, fmt.Sprintf("source=%s incarnation=%d before=%d runs=%d", source, incarnation, w.incarnation, len(w.runs)))
 	w.incarnation, w.incarnationSince = incarnation, now
@@ -69,17 +72,17 @@
 		}
 	}
 	w.forgetCompletions()
-	e.forgetSlowdown(w) // it may be of another kind now
+	e.forgetSlowdown(w) // it may run on another machine now
 	w.missedPolls, w.suspect, w.onProbation, w.consecutiveFailures = 0, false, false, 0
 	w.awaitedClaims = nil
 	if w.phase != held && w.phase != claiming && w.phase != acquiring {
 		return
 	}
 	w.unreachable, w.restarted = false, true
-	e.acquire(now, w) // at once: until it arrives, the new life obeys what the old one was sent
+	e.acquire(now, w) // at once: until this order arrives, the new incarnation obeys orders to the old one
 }
 
-// reading is the latest reading of the clock of the life that is dealt with; 0: there is none.
+// latestClock is the latest reading of the clock of the current incarnation; 0: none.
 func (w *worker) latestClock() int64 {
 	if w.restarted {
 		return 0
@@ -87,15 +90,15 @@
 	return w.clock.ms
 }
 
-// forgetEnds drops what is known of the ends that a life of the worker has listed.
+// forgetCompletions drops what is known of the completions of an earlier incarnation.
 func (w *worker) forgetCompletions() {
 	w.cursor, w.acknowledgeAnswered = 0, 0
 	clear(w.unacknowledged)
 }
 
-// unconfirmed is the number up to which ends are to be acknowledged; 0 where that was answered
-// before. Repeated, it could reach a new life of the worker, which would forget as many ends of
-// its own.
+// nextAcknowledge is the number up to which to acknowledge completions; 0 if the worker has answered
+// that acknowledgement before. Sent again, it could reach a new incarnation of the worker, which would
+// forget as many completions of its own.
 func (w *worker) nextAcknowledge() uint64 {
 	if n := w.acknowledgeable(); n > w.acknowledgeAnswered {
 		return n
@@ -103,12 +106,12 @@
 	return 0
 }
 
-// resume decides what this executor had ordered before it took the worker anew: what the new
-// list shows goes on or has ended, and the rest never starts, as the worker refuses orders
-// under earlier tokens from here on.
+// resolveEarlierRuns decides the runs that this executor had ordered before it took the worker again.
+// Those that the new list shows go on or have ended. All others never start, as the worker now refuses
+// orders with earlier tokens.
 func (e *Executor) resolveEarlierRuns(now time.Duration, w *worker, a Answer) {
 	if w.restarted {
-		// Late orders with deadlines of the old life's clock may have got the longest lease.
+		// A late order, with a deadline by the old incarnation's clock, may have got the longest lease.
 		w.clock, w.grantedUntil, w.restarted = clockReading{a.Clock, now}, a.Clock+e.config.MaxLease.Milliseconds(), false
 	}
 	listed := make(map[task.ID]uint32, len(a.Running))
@@ -124,15 +127,15 @@
 	}
 	for _, r := range w.sortedRuns() {
 		if num, ok := listed[r.id]; ok && num == r.number || len(a.Completions) >= completionListLimit {
-			e.confirmRunning(r, w, a.Clock) // where the list is incomplete, the next tells
+			e.confirmRunning(r, w, a.Clock) // if the list is incomplete, the next one decides
 			continue
 		}
 		e.endRun(now, w, r, task.Terminated, "refused_from_now_on")
 	}
 }
 
-// lapseReborn gives up starts without an answer at a worker that was reborn and can't be taken
-// over: the leases that they were given have passed.
+// expireRestarted gives up starts without an answer at a restarted worker that cannot be taken, once the
+// leases that they may have got have expired.
 func (e *Executor) expireRestarted(now time.Duration, w *worker) {
 	if w.restarted && len(w.runs) > 0 && now >= max(w.leasesExpiredBy(), w.incarnationSince+e.config.MaxLease) {
 		e.handleLeaseExpired(now, w)
--- a/executor/slowdetection.go
+++ b/executor/slowdetection.go
@@ -9,64 +9,69 @@
 )
 
 const (
-	// turn is by how much, as a logarithm, a run's pace has to change while it runs to tell that
-	// its worker's has: the error of what was declared is the same before and after.
+	// speedChangeThreshold is by how much, as a logarithm, a run's speed has to change between two
+	// measurements to show that its worker's speed has changed. The error of the declared time cancels
+	// out, as it is the same in both.
 	speedChangeThreshold = 0.7
-	// jump is by how much, as a logarithm, a run has to differ from its worker's pace to stand
-	// out: declared times are off by half, so one run in a hundred does by chance.
+	// outlierThreshold is by how much, as a logarithm, a run has to differ from its worker's slowdown
+	// to be an outlier. Declared times are off by half, so one run in a hundred is by chance.
 	outlierThreshold = 1.0
-	// oddMemory is how long a job that stood out waits for another one that does, too.
+	// outlierMemory is how long an outlier waits for an outlier of another job.
 	outlierMemory = 2 * time.Second
-	// siblingWeight is the part of a job's own length that is taken off its run times in a worker's
-	// mean. With all of it means would follow each other only, and nothing that was seen.
+	// stepWeight is the part of a job's own excess over its declared time that is subtracted from its
+	// run times in a worker's mean. With all of it subtracted, the means would only follow each other
+	// and no observation.
 	stepWeight = 0.5
-	// siblingMemory is how long the ratios of a step's tasks are kept.
+	// stepMemory is how long the run times of a step's tasks are kept.
 	stepMemory = 3 * time.Second
-	// windowShare is the part of its declared time after which a run's progress tells its pace,
-	// minWindow the least time: lists show whole percents, and clocks whole milliseconds.
+	// windowShare is the part of its declared time after which a run's progress shows its speed, and
+	// minWindow the least time. Lists state whole percents, and clocks whole milliseconds.
 	windowShare = 0.25
 	minWindow   = 25 * time.Millisecond
-	// lookAfter is how many times its usual time a run may take before the worker's lists are
-	// read beside the standing poll: most runs have ended by then, and cost nothing.
+	// extraPollFactor is how many times its usual time a run may take before the executor polls the
+	// worker's lists beside the standing poll. Most runs have ended by then and cost no extra poll.
 	extraPollFactor = 1.5
 )
 
-// Names of events of a worker's speed; all are in docs/OPERATIONS.md.
+// Names of events of a worker's speed. docs/OPERATIONS.md lists them all.
 const (
-	// EventSlow: the worker is known as slow.
+	// EventWorkerSlow: the worker now counts as slow.
 	EventWorkerSlow = "worker_slow"
-	// EventUsual: a worker that was slow is as usual again.
+	// EventWorkerUsual: a slow worker runs at the usual speed again.
 	EventWorkerUsual = "worker_usual"
-	// EventProbe: a task is started on a slow worker to see whether it still is.
+	// EventWorkerProbed: a task starts on a slow worker to find out whether it is still slow.
 	EventWorkerProbed = "worker_probed"
-	// EventSlowRun: a run on a slow worker is stopped, to begin again elsewhere in time.
+	// EventSlowRunStopped: a run on a slow worker is stopped, so that its task can start elsewhere in
+	// time.
 	EventSlowRunStopped = "run_on_slow_worker"
 )
 
-// odd is a job whose run on a worker stood out, from a time on.
+// outlier is a job whose run on a worker took far longer than the worker's runs usually do. from is
+// the start of the time that showed it, at when it was last seen.
 type outlier struct {
 	job      string
 	ratio    float64
 	from, at time.Duration
 }
 
-// observation is what one run shows of its worker's pace from a time on: bounds of actual over
-// declared time, as logarithms.
+// observation is what one run shows of its worker's speed since a point in time. low and high bound
+// actual over declared time, as logarithms.
 type observation struct {
 	run       *run
 	low, high float64
 	from      time.Duration
 	ended     bool
-	// slower and faster are by how much the run's pace has changed at least since it was first seen.
+	// slowedBy and spedUpBy are lower bounds of the change in the run's speed since its first
+	// measurement.
 	slowedBy, spedUpBy float64
 }
 
-// overlaps reports whether most of what was seen is of a time from which on another run stood out.
+// overlaps reports whether at least half of the observed time lies after the start of the outlier.
 func (s *observation) overlaps(now time.Duration, o outlier) bool {
 	return s.from+(now-s.from)/2 >= o.from
 }
 
-// stepKey names a step of a job.
+// stepKey identifies a step of a job.
 type stepKey struct {
 	job        string
 	occurrence uint32
@@ -75,16 +80,18 @@
 
 func stepKeyOf(id task.ID) stepKey { return stepKey{id.Job, id.Occurrence, id.Step} }
 
-// siblings are what a step's tasks have shown on this executor's workers.
+// stepStats is what a step's tasks have shown on this executor's workers.
 type stepStats struct {
-	// excess is by how much runs took longer than usual on each worker that isn't slow.
+	// excess is by how much, as a logarithm, runs took longer than usual on each worker that is not
+	// slow.
 	excess    map[*worker]float64
 	updatedAt time.Duration
-	// long: other jobs ran as usual beside it, so it tells nothing of its workers.
+	// longByItself: runs of other jobs took their usual time beside one of this step, so the step
+	// shows nothing of its workers' speed.
 	longByItself bool
 }
 
-// stepOf returns what is known of a task's step.
+// statsOf returns the stats of a task's step.
 func (e *Executor) statsOf(now time.Duration, id task.ID) *stepStats {
 	s := e.steps[stepKeyOf(id)]
 	if s == nil {
@@ -95,8 +102,9 @@
 	return s
 }
 
-// factor is by how much the step's tasks take longer than usual on other workers; ok is false
-// where none tells. It is the least of them, as another of the workers may have turned slow.
+// excessElsewhere is by how much, as a logarithm, the step's tasks take longer than usual on other
+// workers; ok is false if no other worker has run any. It is the least value of all workers, as one
+// of them may have turned slow too.
 func (s *stepStats) excessElsewhere(w *worker) (least float64, ok bool) {
 	for other, excess := range s.excess {
 		if other != w && (!ok || excess < least) {
@@ -106,7 +114,7 @@
 	return least, ok
 }
 
-// forgetSteps drops steps that have shown nothing for siblingMemory.
+// forgetOldSteps drops steps without an observation for stepMemory.
 func (e *Executor) forgetOldSteps(now time.Duration) {
 	for k, s := range e.steps {
 		if now-s.updatedAt > stepMemory {
@@ -115,10 +123,10 @@
 	}
 }
 
-// judgePace judges a worker by what a run shows. Declared times are off, by one error for all
-// tasks of a job, and a few jobs take many times as long as declared wherever they run. So a
-// worker counts as slow at once only by two jobs that stand out, or by one whose other tasks
-// run as usual elsewhere; what stands out alone counts for no more than jump.
+// evaluateRun updates a worker's slowdown by what a run shows. Declared times are off, by the same
+// error for all tasks of a job, and a few jobs take many times their declared time on any worker. So
+// a worker counts as slow at once only by outliers of two jobs, or by one outlier whose other tasks
+// take their usual time elsewhere. A single outlier counts for no more than outlierThreshold.
 func (e *Executor) evaluateRun(now time.Duration, w *worker, s observation) {
 	usual, step := e.usualFor(w.info.Service), e.statsOf(now, s.run.id)
 	excess, compared := step.excessElsewhere(w)
@@ -127,8 +135,9 @@
 	}
 	raw := s.low
 	if compared {
-		// The job's own length explains at most what there is to explain, and never adds to it:
-		// means that rise by what is usual, which is their mean, would rise for ever.
+		// The job's own excess explains at most the difference that was seen, and never adds to
+		// it. The usual slowdown is the mean of the workers' means: if it raised them in turn, they
+		// would rise without limit.
 		explained := min(max(excess, 0), max(s.low-usual, 0))
 		s.low, s.high = s.low-explained, s.high-explained
 		raw -= stepWeight * explained
@@ -139,7 +148,7 @@
 	}
 	slow := w.slowdown.known() && reference-usual > alikeTolerance
 	if slow {
-		w.probeAt = max(w.probeAt, now+max(w.probeInterval, minProbeInterval)) // it has just been seen
+		w.probeAt = max(w.probeAt, now+max(w.probeInterval, minProbeInterval)) // this run has shown its speed
 	}
 	switch {
 	case s.slowedBy > speedChangeThreshold:
@@ -168,7 +177,8 @@
 	e.emitEvent(EventWorkerUsual, w, s.run, fmt.Sprintf("ratio=%.2f", math.Exp(mean)))
 }
 
-// refute drops a suspicion when a run of another job was as usual meanwhile: then it was the job.
+// refuteOutlier drops an outlier if a run of another job took its usual time meanwhile: then the job
+// was long, and the worker is not slow.
 func (e *Executor) refuteOutlier(now time.Duration, w *worker, s observation) {
 	o := w.slowdown.outlier
 	if o.job == "" || o.job != s.run.id.Job && !s.overlaps(now, o) {
@@ -185,7 +195,7 @@
 	}
 }
 
-// standsOut takes a run that takes far longer than its worker's usually do.
+// handleOutlier handles a run that takes far longer than its worker's runs usually do.
 func (e *Executor) handleOutlier(now time.Duration, w *worker, s observation, reference float64, compared bool) {
 	job, o := s.run.id.Job, w.slowdown.outlier
 	switch {
@@ -212,7 +222,8 @@
 	e.emitEvent(EventWorkerSlow, w, s.run, fmt.Sprintf("ratio=%.2f usual=%.2f ended=%t", math.Exp(mean), math.Exp(e.usualFor(w.info.Service)), s.ended))
 }
 
-// watch judges a worker by the progress that a list made at the given clock shows.
+// evaluateProgress evaluates the progress of a worker's runs. clockMS is the worker's clock when it
+// made the list.
 func (e *Executor) evaluateProgress(now time.Duration, w *worker, clockMS int64) {
 	for _, r := range w.sortedRuns() {
 		if s, ok := r.measureProgress(now, clockMS); ok {
@@ -225,8 +236,8 @@
 	e.stopLateRuns(now, w)
 }
 
-// progress tells the pace of a run since it was last told. Runs that may go on from a
-// checkpoint tell nothing.
+// measureProgress returns what a run's progress shows of its speed since the last measurement. Runs of
+// durable jobs show nothing, as they may continue from a checkpoint.
 func (r *run) measureProgress(now time.Duration, clockMS int64) (observation, bool) {
 	if r.state != running || r.task == nil || r.deadline == 0 || r.task.Durable || r.runningClock == 0 {
 		return observation{}, false
@@ -241,7 +252,7 @@
 	return s, ok
 }
 
-// window tells the pace of a run over a time in which it has come to a percentage.
+// measureWindow returns a run's speed over a time window that ended at the given percentage.
 func (r *run) measureWindow(now, window time.Duration, percent int) (observation, bool) {
 	ratio, ok := r.logRatio(window)
 	if !ok || window < max(minWindow, time.Duration(windowShare*float64(r.task.ExpectedRunTime))) {
@@ -256,8 +267,8 @@
 	return s, true
 }
 
-// unseen reports whether a run is so much beyond its time, or its worker's, that the worker's
-// lists are to be read.
+// hasUnmeasuredOverdueRun reports whether a run that has not been measured is so far beyond its usual
+// time that the worker's lists have to be read.
 func (e *Executor) hasUnmeasuredOverdueRun(now time.Duration, w *worker) bool {
 	found := false
 	for _, r := range w.runs {
--- a/executor/slowdown.go
+++ b/executor/slowdown.go
@@ -7,35 +7,38 @@
 )
 
 const (
-	// speedRuns is how many runs a worker's speed is the mean of, older ones counting less.
+	// slowdownRuns is how many runs a worker's slowdown averages over; older ones count less.
 	slowdownRuns = 8
-	// knownAfter is how many runs tell a worker's speed: of declared times that are off by half
-	// the mean is off by a quarter by then.
+	// minSlowdownRuns is how many runs it takes to know a worker's slowdown. Declared times are off by
+	// half, so the mean is off by a quarter by then.
 	minSlowdownRuns = 4
-	// alike is by how much, as a logarithm, a worker's run times may differ from what is usual
-	// before it counts as slower or faster: less is chance, or makes no job late.
+	// alikeTolerance is by how much, as a logarithm, a worker's slowdown may differ from the usual one
+	// before the worker counts as slower or faster. A smaller difference is chance, or makes no job
+	// late.
 	alikeTolerance = 0.25
-	// toldStep is by how much, as a logarithm, a pace has to change before others are told
-	// anew: with less they would be with each run.
+	// reportStep is by how much, as a logarithm, a slowdown has to change before the executor reports
+	// the new value. A smaller step would change the reported value with each run.
 	reportStep = 0.25
-	// inheritWithin is the age up to which a pace that another holder has told is taken over:
-	// workers turn slow for seconds more often than for good.
+	// importMaxAge is the age up to which the executor imports a slowdown that another holder has
+	// reported. Workers turn slow for seconds more often than for good.
 	importMaxAge = 30 * time.Second
-	// inheritFor is how long a new worker's pace is asked for: a process that has just started has
-	// heard all others by then.
+	// importPeriod is how long the executor looks for a reported slowdown of a new worker. Within this
+	// time a process that has just started has received the reports of all others.
 	importPeriod = 2 * time.Second
 )
 
-// pace is how long runs take compared with what was declared, as a mean of logarithms: one
-// task that takes ten times as long as declared then counts as much as one that takes a tenth.
+// slowdown is how long runs take compared with the declared time, as a mean of logarithms. A run of
+// ten times its declared time thus counts as much as one of a tenth of it.
 type slowdown struct {
 	mean float64
 	runs int
-	// told is the mean as others are told of it, toldRatio its exponential.
+	// reported is the mean as reported to others, reportedRatio its exponential.
 	reported, reportedRatio float64
-	// odd is the last job that stood out, while nothing confirms or refutes it.
+	// outlier is the last job that stood out, until another run confirms or refutes that the worker
+	// is slow.
 	outlier outlier
-	// askUntil is until when others are asked for what they were told of the worker; 0: not yet.
+	// importUntil is until when the executor looks for a slowdown reported by another holder; 0: it
+	// has not looked yet.
 	importUntil time.Duration
 }
 
@@ -45,7 +48,7 @@
 	p.updateReported()
 }
 
-// set replaces what is known.
+// set replaces the mean, and with it what the runs have shown.
 func (p *slowdown) set(mean float64) {
 	p.mean, p.runs, p.outlier = mean, minSlowdownRuns, outlier{}
 	p.updateReported()
@@ -60,16 +63,16 @@
 
 func (p *slowdown) known() bool { return p.runs >= minSlowdownRuns }
 
-// ratio is actual over declared time as it is told; 0: not known.
+// reportedSlowdown is actual over declared time as reported to others; 0: not known.
 func (p *slowdown) reportedSlowdown() float64 {
 	if !p.known() {
 		return 0
 	}
-	return cmp.Or(p.reportedRatio, 1) // nothing to tell yet: as declared
+	return cmp.Or(p.reportedRatio, 1) // no change reported yet: as declared
 }
 
-// usualPace is the mean of the paces of an executor's workers, each counting the same however
-// many runs it gets: otherwise slow workers would look the more usual the more they are given.
+// slowdownMean is the mean slowdown of an executor's workers. Each worker counts the same, however
+// many runs it gets. Otherwise a slow worker would look more usual the more runs it gets.
 type slowdownMean struct {
 	sum   float64
 	count int
@@ -89,8 +92,9 @@
 	}
 }
 
-// SetMedianSlowdowns tells, by service, how many times as long as declared runs take on a usual worker
-// of all holders'. A holder all of whose workers are slow can't see it by comparing them.
+// SetMedianSlowdowns sets, by service, the usual slowdown among the workers of all holders: how many
+// times the declared time runs take on a usual worker. A holder whose workers are all slow cannot see
+// that by comparing them with each other.
 func (e *Executor) SetMedianSlowdowns(usual map[string]float64) {
 	e.medianSlowdowns = make(map[string]float64, len(usual))
 	for service, ratio := range usual {
@@ -98,8 +102,9 @@
 	}
 }
 
-// ImportSlowdowns takes over what other holders have told of workers that are new here, and how long
-// ago. What is wrong costs little: the worker is tried at once, and judged by what it does.
+// ImportSlowdowns takes over the slowdowns that other holders have reported, with their ages, for
+// workers that are new here. A wrong one costs little: the executor probes the worker at once and
+// judges it by its runs.
 func (e *Executor) ImportSlowdowns(now time.Duration, reported func(worker string) (ratio float64, age time.Duration)) {
 	for _, w := range e.order {
 		if w.slowdown.importUntil == 0 {
@@ -114,7 +119,7 @@
 	}
 }
 
-// usualFor is the usual pace of a service's workers.
+// usualFor returns the usual slowdown of a service's workers, as a logarithm.
 func (e *Executor) usualFor(service string) float64 {
 	if reported, ok := e.medianSlowdowns[service]; ok {
 		return reported
@@ -125,7 +130,7 @@
 	return 0
 }
 
-// changePace lets f change a worker's pace and keeps the mean of all in step.
+// updateSlowdown lets f change a worker's slowdown, and updates the mean of the service's workers.
 func (e *Executor) updateSlowdown(w *worker, f func(p *slowdown)) {
 	u := e.usual[w.info.Service]
 	u.remove(w.slowdown)
@@ -138,19 +143,21 @@
 	e.updateSlowdown(w, func(p *slowdown) { p.set(mean) })
 }
 
-// forgetPace drops what is known of a worker that leaves.
+// forgetSlowdown drops what is known of a worker's slowdown when it leaves, restarts or changes its
+// service.
 func (e *Executor) forgetSlowdown(w *worker) {
 	e.updateSlowdown(w, func(p *slowdown) { *p = slowdown{importUntil: p.importUntil} })
 }
 
-// ran notes how long a run took that this executor started and that ended well.
-// What ended while polls got no answers is listed late, which says nothing of the worker's pace.
+// observeEndedRun evaluates the run time of a successful run that this executor started. It ignores
+// a run that was under way when a poll got no answer: its completion is listed late, which shows
+// nothing of the worker's speed.
 func (e *Executor) observeEndedRun(now time.Duration, w *worker, r *run) {
 	if w.lastMissedAt >= r.startSentAt {
 		return
 	}
 	if r.measured {
-		// It may have run at two paces; the last one counts.
+		// The run's speed may have changed. Only the time since the last measurement counts.
 		if s, ok := r.measureWindow(now, now-r.lastMeasuredAt, 100); ok {
 			s.ended = true
 			e.evaluateRun(now, w, s)
@@ -162,7 +169,7 @@
 	}
 }
 
-// ratio is actual over declared time, as a logarithm; ok is false where a run tells nothing.
+// logRatio is actual over declared time, as a logarithm; ok is false if the run shows nothing.
 func (r *run) logRatio(took time.Duration) (ratio float64, ok bool) {
 	if r.task == nil || r.deadline == 0 || r.task.ExpectedRunTime <= 0 || took <= 0 {
 		return 0, false
@@ -170,8 +177,8 @@
 	return math.Log(float64(took) / float64(r.task.ExpectedRunTime)), true
 }
 
-// slowness is how many times as long as usual the worker's runs take; 1 where that isn't
-// known, or doesn't stand out.
+// slowness is how many times as long as usual the worker's runs take. It is 1 if that is not known,
+// or if the difference is within alikeTolerance.
 func (e *Executor) slowness(w *worker) float64 {
 	if !w.slowdown.known() {
 		return 1
--- a/executor/takeover.go
+++ b/executor/takeover.go
@@ -8,8 +8,8 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// taken acts on a higher token: another executor holds the worker. What runs there goes
-// on; the new holder asks the coordinators for it.
+// handleTaken handles a higher token: another executor has taken the worker. Its runs go on, and the
+// new holder asks the coordinators to claim them.
 func (e *Executor) handleTaken(now time.Duration, w *worker) {
 	if w.phase == yielded || w.phase == released {
 		return
@@ -17,14 +17,14 @@
 	e.emitEvent("worker_taken", w, nil, fmt.Sprintf("runs=%d", len(w.runs)))
 	for _, r := range w.sortedRuns() {
 		if r.state == starting {
-			continue // its answer tells whether the order was obeyed
+			continue // the start's answer tells whether the worker obeyed it
 		}
 		w.removeRun(r)
 		e.noteLeftRun(now, r)
 		e.reportMoved(w, r)
 	}
-	// The new holder finds what is held here on the worker's list, and so does this one, if it takes
-	// the worker back: who is to store those ends may have changed.
+	// The new holder finds the unacknowledged completions in the worker's list. So does this executor
+	// if it takes the worker back: another coordinator may have to store them by then.
 	w.cursor = w.acknowledgeable()
 	clear(w.unacknowledged)
 	w.phase = yielded
@@ -34,22 +34,22 @@
 	}
 }
 
-// moved tells a run's coordinator that another executor looks after the worker.
+// reportMoved tells a run's coordinator that another executor now holds the worker.
 func (e *Executor) reportMoved(w *worker, r *run) {
 	if r.awaited() {
 		e.emitReport(r.owner, task.Report{ID: r.id, Run: r.number, Outcome: task.Moved, Worker: w.info.ID, Reason: "worker_taken", Token: w.epochToken})
 	}
 }
 
-// acquired takes a worker over: its runs are asked for among the coordinators.
+// handleAcquired completes the taking of a worker, and asks the coordinators to claim its runs.
 func (e *Executor) handleAcquired(now time.Duration, w *worker, a Answer) {
 	w.phase = claiming
 	e.epochs++
 	w.epoch, w.epochToken = e.epochs, w.token
 	if len(a.Running) == 0 {
-		// Nothing can be claimed, and no order of an earlier holder is obeyed any more: the
-		// worker is free. After a loss of power of all daemons that is each of them, and
-		// callers that come again wait for the first.
+		// There is nothing to claim, and the worker no longer obeys orders of an earlier holder, so
+		// it is free. After a power loss of all daemons every worker is, and callers that retry wait
+		// for the first.
 		w.phase = held
 	}
 	w.claimDeadline = now + claimTimeout
@@ -70,14 +70,14 @@
 		t.Completed = append(t.Completed, f.RunningTask)
 		e.holdFoundCompletion(now, w, f)
 	}
-	// Our leases may not shorten what an earlier holder granted.
+	// This holder's leases must not shorten a lease that an earlier holder granted.
 	w.grantedUntil = max(w.grantedUntil, a.Clock+e.config.Lease.Milliseconds())
 	e.emitEvent("worker_held", w, nil, fmt.Sprintf("token=%d running=%d ended=%d", w.token, len(t.Running), len(t.Completed)))
 	e.output.Takeovers = append(e.output.Takeovers, t)
 }
 
-// ExpectClaims tells which coordinators a takeover was sent to; the worker opens when all have
-// answered, or after claimWait.
+// ExpectClaims sets which coordinators a takeover was sent to. The worker opens for new runs when all
+// have answered, or after claimTimeout.
 func (e *Executor) ExpectClaims(now time.Duration, workerID string, coordinators []member.Process) {
 	w := e.workers[workerID]
 	if w == nil || w.phase != claiming {
@@ -91,8 +91,8 @@
 	e.schedule(now)
 }
 
-// HandleClaims takes a coordinator's claims: what runs goes on for it, what doesn't is
-// reported as gone.
+// HandleClaims handles a coordinator's claims. Claimed runs that are listed go on for it; for the others
+// it gets a report of how they ended.
 func (e *Executor) HandleClaims(now time.Duration, c Claims) {
 	w := e.workers[c.Worker]
 	if w == nil || w.phase != claiming && w.phase != held {
@@ -122,16 +122,16 @@
 	r.task, r.owner, r.orphanedAt = t, owner, 0
 	w.addRun(r)
 	if r.state == starting || r.state == unanswered {
-		return // its start is reported when the worker confirms it
+		return // the executor reports the start when the worker confirms it
 	}
 	if r.state == stopping {
-		r.discarded = false // too late to go on, but its end is worth knowing
+		r.discarded = false // the run cannot go on any more, but the coordinator has to learn of its end
 		return
 	}
 	e.emitReport(owner, task.Report{ID: r.id, Run: r.number, Outcome: task.Started, Worker: w.info.ID, Reason: "claimed", Token: w.epochToken})
 }
 
-// settleClaims opens a worker once all its runs are claimed or stopped.
+// finishClaims opens a worker once all its runs are claimed or stopped.
 func (e *Executor) finishClaims(now time.Duration, w *worker) {
 	if w.phase != claiming || w.awaitedClaims == nil || len(w.awaitedClaims) > 0 && now < w.claimDeadline {
 		return
--- a/executor/worker.go
+++ b/executor/worker.go
@@ -8,78 +8,84 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// phase is the holder's relation to a worker.
+// phase is the holder's relation to the worker.
 type phase uint8
 
 const (
-	// acquiring: a poll under a new token is under way or will be.
+	// acquiring: a poll with a new token is under way or due.
 	acquiring phase = iota
-	// claiming: the worker obeys us; coordinators are asked for the runs it lists.
+	// claiming: the worker obeys this executor, which is asking coordinators for the runs it lists.
 	claiming
-	// held: runs may be started.
+	// held: this executor may start runs on it.
 	held
-	// yielded: another holder took it.
+	// yielded: another holder has taken it.
 	yielded
-	// released: it is no longer ours by assignment.
+	// released: it is no longer assigned to this daemon.
 	released
 )
 
-// runState is what is known of one run.
+// runState is what the executor knows of one run.
 type runState uint8
 
 const (
-	// starting: the order is sent and not answered.
+	// starting: the start was sent and is not answered yet.
 	starting runState = iota
-	// doubtful: the order got no answer.
+	// unanswered: the start got no answer in time.
 	unanswered
-	// running: the worker said so.
+	// running: the worker has confirmed the run.
 	running
-	// stopping: it is to end, and its coordinator wants no result.
+	// stopping: the run is being stopped, and its coordinator wants no result.
 	stopping
 )
 
-// run is one run on one worker. A run found at a takeover has no task until it is claimed.
+// run is one run on one worker. A run that was listed at a takeover has no task until a coordinator
+// claims it.
 type run struct {
 	task   *task.Task
 	id     task.ID
 	owner  member.Process
 	number uint32
 	state  runState
-	// began is when the start was sent.
+	// startSentAt is when the start was sent.
 	startSentAt time.Duration
-	// deadline is that of the start order, on the worker's clock; 0 for a run found.
+	// deadline is the lease end that the start asked for, in ms on the worker's clock; 0 for a run
+	// listed at a takeover.
 	deadline int64
-	// since is a clock reading of the worker at which the run was surely there; 0: none.
+	// runningClock is the earliest known reading of the worker's clock at which the run was there;
+	// 0: none.
 	runningClock int64
-	// stopped is a clock reading of the worker at which it had surely taken a stop; 0: none.
+	// stoppedClock is a reading of the worker's clock by which it had taken a stop for certain;
+	// 0: none.
 	stoppedClock int64
-	// stopSent is when the last stop was sent.
+	// stopSentAt is when the last stop was sent.
 	stopSentAt time.Duration
-	// discard: nobody waits for its result; confirm: its coordinator waits for its end all the same.
+	// discarded: nobody waits for the run's result. confirmEnd: its coordinator waits for its end
+	// all the same.
 	discarded, confirmEnd bool
-	// orphanedAt is when a kept run lost its coordinator; 0: it has one.
+	// orphanedAt is when a durable job's run lost its coordinator; 0: it has one.
 	orphanedAt time.Duration
-	// percent is the last listed progress, changed when it last grew.
+	// percent is the last listed progress, progressAt when it last changed.
 	percent    int
 	progressAt time.Duration
-	// marked is the progress at markedAt, on the worker's clock, from which on the next word on
-	// the run's pace counts; seen: there was one.
-	// first are the bounds that it gave first, lastMark when the last one came.
+	// The next measurement of the run's speed starts from measuredPercent, its progress at
+	// measuredClock on the worker's clock. lastMeasuredAt is when the run was last measured. measured:
+	// it was. firstBounds are the bounds of the first measurement.
 	measuredPercent int
 	measuredClock   int64
 	lastMeasuredAt  time.Duration
 	measured        bool
 	firstBounds     [2]float64
-	// looked: the worker's lists were asked for because of it.
+	// listsRequested: the executor has polled the worker's lists because of this run.
 	listsRequested bool
-	// probe: it was started to see whether its worker still is slow.
+	// probe: the run was started to find out whether its worker is still slow.
 	probe bool
 }
 
-// wanted reports whether a coordinator waits for what becomes of the run.
+// awaited reports whether a coordinator waits to learn what became of the run.
 func (r *run) awaited() bool { return r.task != nil && (!r.discarded || r.confirmEnd) }
 
-// coordinator names the run's coordinator for logs; empty while nobody has claimed it.
+// coordinator formats the run's coordinator for logs. It is empty until a coordinator has claimed
+// the run.
 func (r *run) coordinator() string {
 	if !r.owner.Address.IsValid() {
 		return ""
@@ -87,75 +93,80 @@
 	return " coordinator=" + r.owner.Address.String()
 }
 
-// clock is a reading of a worker's clock.
+// clockReading is a reading of a worker's clock, with the time of the reading on the executor's clock.
 type clockReading struct {
 	ms int64
 	at time.Duration
 }
 
-// worker is a worker that this executor holds or wants to.
+// worker is a worker that this executor holds or wants to hold.
 type worker struct {
 	info  WorkerInfo
 	phase phase
-	// retired: the worker's failure domain is to get no new runs.
+	// retired: workers of this failure domain get no new runs.
 	retired bool
-	// departing: the worker is being left to daemons that can't claim what runs there.
+	// departing: the worker is being handed to daemons that cannot claim what runs on it.
 	departing bool
-	// wanted: the worker is assigned to this daemon.
+	// assigned: the worker is assigned to this daemon.
 	assigned bool
 	token    uint64
-	// tenure numbers the time since the worker was last taken among this executor's tenures of all
-	// its workers; 0: it never was. obeyed is the token that it was taken by: unlike token, that of
-	// the latest try.
+	// epoch numbers the current holding epoch of the worker among this executor's epochs of all its
+	// workers; 0: it never held the worker. epochToken is the token by which it took the worker in
+	// this epoch. Unlike token, it does not change with attempts that have not succeeded.
 	epoch, epochToken uint64
-	// incarnation is the one of the worker that is dealt with, known since incarnationSince; 0: not told.
+	// incarnation is the worker's current incarnation as this executor knows it since
+	// incarnationSince; 0: not known.
 	incarnation      int64
 	incarnationSince time.Duration
-	// reborn: it has not been taken over since it came back under its ID.
+	// restarted: this executor has not taken the worker since the worker restarted under its ID.
 	restarted bool
 	clock     clockReading
-	// granted is the latest lease end that any order of this holder may have set.
+	// grantedUntil is the latest lease end that any order of this holder may have set, in ms on the
+	// worker's clock.
 	grantedUntil int64
 	cursor       uint64
-	// confirmed is the number of the last end whose acknowledgement was answered.
+	// acknowledgeAnswered is the number of the last completion whose acknowledgement the worker
+	// has answered.
 	acknowledgeAnswered uint64
-	// unsettled holds ends that may not be acknowledged yet, by number.
+	// unacknowledged holds completions that must not be acknowledged yet, by number.
 	unacknowledged map[uint64]unacknowledgedCompletion
 	runs           map[task.ID]*run
 	used           capacity.Vector
-	// takenAt is when the last order to take it was sent; 0: never.
+	// acquireSentAt is when the last order to take the worker was sent; 0: never.
 	acquireSentAt time.Duration
-	// unreached: the last attempt to take it got no answer.
+	// unreachable: the last attempt to take the worker got no answer.
 	unreachable bool
-	// polling and looking: a standing poll or an extra one is under way.
+	// polling: the standing poll is under way. extraPolling: an extra poll is.
 	polling, extraPolling bool
-	// nextPoll is when an unheld worker is polled again, nextLook when a doubt is looked into.
+	// nextPollAt is when the next poll is due. nextExtraPollAt is when the next extra poll for an
+	// order of unknown effect is due.
 	nextPollAt, nextExtraPollAt time.Duration
-	// listedAt is when the worker's lists were last read.
+	// listedAt is when the executor last read the worker's lists.
 	listedAt time.Duration
-	// silent counts polls in a row without an answer.
+	// missedPolls counts the polls in a row that got no answer.
 	missedPolls int
-	// missedAt is when a poll last got no answer.
+	// lastMissedAt is when a poll last got no answer.
 	lastMissedAt time.Duration
-	// suspect: a start got no answer and no list has been read since.
+	// suspect: a start got no answer, and no list has been read since.
 	suspect bool
-	// pausedUntil closes the worker for new runs; pause is the length of the last pause.
+	// Until pausedUntil the worker gets no new runs. pause is the length of the last pause.
 	pausedUntil, pause time.Duration
-	// failures counts failed runs in a row.
+	// consecutiveFailures counts failed runs in a row.
 	consecutiveFailures int
-	// pace is how fast it is. A slow worker gets a probe from probeAt on, the next one probePause
-	// after that.
+	// slowdown is the worker's run time compared with the declared one. A slow worker gets a probe
+	// from probeAt on, and the next probe probeInterval after that.
 	slowdown               slowdown
 	probeAt, probeInterval time.Duration
-	// probing: after it was closed for its runs, the worker gets one task at a time until
-	// one has ended well.
+	// onProbation: the worker was closed because of its runs. It gets one task at a time until a run
+	// succeeds.
 	onProbation bool
-	// claimBy is when unclaimed runs are stopped; waiting holds who has not answered yet.
+	// At claimDeadline the executor stops unclaimed runs. awaitedClaims holds the coordinators that
+	// have not answered the takeover yet.
 	claimDeadline time.Duration
 	awaitedClaims map[member.Process]bool
 }
 
-// now estimates the worker's clock in ms; ok is false when it was never read.
+// clockAt estimates the worker's clock in ms at a time; ok is false if the clock was never read.
 func (w *worker) clockAt(t time.Duration) (ms int64, ok bool) {
 	if w.clock.ms == 0 {
 		return 0, false
@@ -163,44 +174,44 @@
 	return w.clock.ms + (t - w.clock.at).Milliseconds(), true
 }
 
-// read takes a reading of the worker's clock. Answers on different connections overtake
-// each other, so an older reading is not taken.
+// readClock takes a reading of the worker's clock. Answers on different connections overtake each
+// other, so it ignores an older reading.
 func (w *worker) readClock(ms int64, at time.Duration) {
 	if ms > w.clock.ms {
 		w.clock = clockReading{ms, at}
 	}
 }
 
-// lapsedBy returns when every lease that this holder granted has surely ended: the
-// worker's clock may run slow by clockDrift.
+// leasesExpiredBy returns the time by which every lease that this holder granted has expired for
+// certain: the worker's clock may run slow by clockDrift.
 func (w *worker) leasesExpiredBy() time.Duration {
 	left := max(w.grantedUntil-w.clock.ms, 0)
 	return w.clock.at + time.Duration(float64(left)/(1-clockDrift))*time.Millisecond + leaseMargin
 }
 
-// free returns the room left.
+// freeCapacity returns the capacity left; it is negative after the worker shrank below its use.
 func (w *worker) freeCapacity() capacity.Vector { return w.info.Capacity.Minus(w.used) }
 
-// idle reports whether nothing runs there, and no room is held.
+// idle reports whether nothing runs on the worker and no capacity is held there.
 func (w *worker) idle() bool { return len(w.runs) == 0 && w.used == capacity.Vector{} }
 
-// open reports whether new runs may start.
+// acceptsRuns reports whether new runs may start on the worker now.
 func (w *worker) acceptsRuns(now time.Duration) bool {
 	_, known := w.clockAt(now)
 	return w.phase == held && known && !w.excluded() && w.missedPolls < closeAfterMissed && !w.suspect && now >= w.pausedUntil &&
 		(!w.onProbation || len(w.runs) == 0) && !w.awaitsLeaseExpiry()
 }
 
-// leaving reports whether the worker is to get no new runs until it, or its failure domain,
-// is taken back.
+// excluded reports whether the worker gets no new runs because it, or its failure domain, is being
+// taken out of use.
 func (w *worker) excluded() bool { return w.info.Draining || w.retired || w.departing }
 
-// usable reports whether the worker is expected to take new runs soon, if not now.
+// usable reports whether the worker is expected to accept new runs soon, if not now.
 func (w *worker) usable() bool {
 	return (w.phase == held || w.phase == claiming) && !w.excluded() && w.missedPolls < stopExtendingAfterMissed && !w.onProbation
 }
 
-// serves reports whether the worker may run the task at all.
+// canRun reports whether the worker can run the task at all: service, label and total capacity fit.
 func (w *worker) canRun(t *task.Task) bool {
 	return w.info.Service == t.Service && w.hasLabel(t.Label) && t.Demand.Fits(w.info.Capacity)
 }
@@ -217,7 +228,7 @@
 	return false
 }
 
-// unclaimed reports whether it runs something whose demand is unknown.
+// hasUnclaimedRuns reports whether the worker runs something of unknown demand.
 func (w *worker) hasUnclaimedRuns() bool {
 	for _, r := range w.runs {
 		if r.task == nil {
@@ -227,6 +238,7 @@
 	return false
 }
 
+// hasUnresolvedOrders reports whether the effect of a start or a stop is still unknown.
 func (w *worker) hasUnresolvedOrders() bool {
 	for _, r := range w.runs {
 		if r.state == unanswered || r.state == stopping {
@@ -253,7 +265,8 @@
 	}
 }
 
-// closeFor pauses a worker, twice as long each further time.
+// pauseFor closes the worker for new runs. Each further pause is twice as long as the last, up to
+// maxPause.
 func (w *worker) pauseFor(now, first time.Duration) {
 	w.pause = min(max(2*w.pause, first), maxPause)
 	w.pausedUntil = max(w.pausedUntil, now+w.pause)
