--- a/executor/answers.go
+++ b/executor/answers.go
@@ -33,6 +33,7 @@
 	e.schedule(now)
 }
 
+// handleStartAnswer updates a run by the answer to its start, or by the lack of one.
 func (e *Executor) handleStartAnswer(now time.Duration, w *worker, c Call, a Answer) {
 	r := w.runs[c.ID]
 	if r == nil || r.number != c.Run {
@@ -115,6 +116,7 @@
 	}
 }
 
+// handleStopAnswer notes that the worker has taken a stop, and schedules the poll that shows its effect.
 func (e *Executor) handleStopAnswer(now time.Duration, w *worker, c Call, a Answer) {
 	r := w.runs[c.ID]
 	switch {
@@ -173,6 +175,7 @@
 	}
 }
 
+// sortedRuns returns the worker's runs in a repeatable order: by start, then by task.
 func (w *worker) sortedRuns() []*run {
 	list := make([]*run, 0, len(w.runs))
 	for _, r := range w.runs {
@@ -195,6 +198,7 @@
 	w.nextPollAt = now + acquireRetryDelay
 }
 
+// handlePollAnswer handles the answer to a poll, and sends the next standing poll.
 func (e *Executor) handlePollAnswer(now time.Duration, w *worker, c Call, a Answer) {
 	if c.probe {
 		e.handleProbeAnswer(now, w, a)
@@ -257,14 +261,14 @@
 		e.handleAcquired(now, w, a)
 		return
 	}
-	for _, f := range a.Completions {
-		if f.Number <= w.cursor {
+	for _, c := range a.Completions {
+		if c.Number <= w.cursor {
 			continue
 		}
-		w.cursor = f.Number
-		if r := w.runs[f.ID]; r != nil && r.number == f.Run {
-			e.holdCompletion(now, w, r, f)
-			e.endRun(now, w, r, outcomeOf(f), f.Result)
+		w.cursor = c.Number
+		if r := w.runs[c.ID]; r != nil && r.number == c.Run {
+			e.holdCompletion(now, w, r, c)
+			e.endRun(now, w, r, outcomeOf(c), c.Result)
 		}
 	}
 	w.listedAt = now
@@ -287,11 +291,11 @@
 	e.evaluateProgress(now, w, a.Clock)
 }
 
-func outcomeOf(f Completion) task.Outcome {
+func outcomeOf(c Completion) task.Outcome {
 	switch {
-	case f.Done:
+	case c.Done:
 		return task.Done
-	case f.Failed:
+	case c.Failed:
 		return task.Failed
 	default:
 		return task.Terminated
--- a/executor/durable.go
+++ b/executor/durable.go
@@ -55,8 +55,8 @@
 
 // knownTo reports whether the coordinator was told of the completion and has been reachable since.
 // Otherwise it may have started the task again after the completion.
-func (h unacknowledgedCompletion) knownTo(owner member.Process) bool {
-	return h.owner == owner && h.ownerLostAt == 0 && !h.late
+func (c unacknowledgedCompletion) knownTo(owner member.Process) bool {
+	return c.owner == owner && c.ownerLostAt == 0 && !c.late
 }
 
 // JobState is the stored state of a job that has an unacknowledged completion.
@@ -73,29 +73,29 @@
 )
 
 // holdCompletion keeps the completion of a durable job's run from being acknowledged.
-func (e *Executor) holdCompletion(now time.Duration, w *worker, r *run, f Completion) {
+func (e *Executor) holdCompletion(now time.Duration, w *worker, r *run, c Completion) {
 	switch {
 	case r.task == nil:
-		e.holdFoundCompletion(now, w, f)
-	case r.task.Durable && !r.discarded && (f.Done || f.Failed):
-		w.unacknowledged[f.Number] = unacknowledgedCompletion{RunningTask: f.RunningTask, lookUpAt: now + confirmTimeout, owner: r.owner, ownerLostAt: r.orphanedAt}
+		e.holdFoundCompletion(now, w, c)
+	case r.task.Durable && !r.discarded && (c.Done || c.Failed):
+		w.unacknowledged[c.Number] = unacknowledgedCompletion{RunningTask: c.RunningTask, lookUpAt: now + confirmTimeout, owner: r.owner, ownerLostAt: r.orphanedAt}
 	}
 }
 
 // holdFoundCompletion keeps a completion that was listed at a takeover from being acknowledged. This
 // executor does not know whether the job is durable, so it asks for the job's state at once.
-func (e *Executor) holdFoundCompletion(now time.Duration, w *worker, f Completion) {
-	if f.Done || f.Failed {
-		w.unacknowledged[f.Number] = unacknowledgedCompletion{RunningTask: f.RunningTask, lookUpAt: now, foundAtTakeover: true}
+func (e *Executor) holdFoundCompletion(now time.Duration, w *worker, c Completion) {
+	if c.Done || c.Failed {
+		w.unacknowledged[c.Number] = unacknowledgedCompletion{RunningTask: c.RunningTask, lookUpAt: now, foundAtTakeover: true}
 	}
 }
 
 // outcomeOfUnlisted is how a run ended that the worker no longer lists as running. It is Terminated unless an
 // unacknowledged completion shows otherwise.
 func (w *worker) outcomeOfUnlisted(t *task.Task) task.Outcome {
-	for _, h := range w.unacknowledged {
-		if h.ID == t.ID && h.Run == t.Run {
-			return outcomeOf(Completion{RunningTask: h.RunningTask})
+	for _, c := range w.unacknowledged {
+		if c.ID == t.ID && c.Run == t.Run {
+			return outcomeOf(Completion{RunningTask: c.RunningTask})
 		}
 	}
 	return task.Terminated
@@ -113,11 +113,11 @@
 // releaseCompletions lets completions be acknowledged; the next poll acknowledges them.
 func (e *Executor) releaseCompletions(now time.Duration, w *worker, why string, match func(unacknowledgedCompletion) bool) {
 	before := len(w.unacknowledged)
-	for n, h := range w.unacknowledged {
-		if match(h) {
+	for n, c := range w.unacknowledged {
+		if match(c) {
 			delete(w.unacknowledged, n)
 			e.output.Events = append(e.output.Events, Event{
-				Name: EventCompletionReleased, ID: h.ID, Run: h.Run, Worker: w.info.ID, Detail: fmt.Sprintf("why=%s late=%t found=%t number=%d", why, h.late, h.foundAtTakeover, n),
+				Name: EventCompletionReleased, ID: c.ID, Run: c.Run, Worker: w.info.ID, Detail: fmt.Sprintf("why=%s late=%t found=%t number=%d", why, c.late, c.foundAtTakeover, n),
 			})
 		}
 	}
@@ -134,8 +134,8 @@
 		if len(w.unacknowledged) == 0 {
 			continue
 		}
-		e.releaseCompletions(now, w, "stored", func(h unacknowledgedCompletion) bool {
-			return !h.late && slices.Contains(runs, task.RunRef{ID: h.ID, Run: h.Run})
+		e.releaseCompletions(now, w, "stored", func(c unacknowledgedCompletion) bool {
+			return !c.late && slices.Contains(runs, task.RunRef{ID: c.ID, Run: c.Run})
 		})
 	}
 }
@@ -144,10 +144,10 @@
 // known.
 func (e *Executor) MarkSuperseded(runs []task.RunRef) {
 	for _, w := range e.order {
-		for n, h := range w.unacknowledged {
-			if slices.Contains(runs, task.RunRef{ID: h.ID, Run: h.Run}) {
-				h.late = true
-				w.unacknowledged[n] = h
+		for n, c := range w.unacknowledged {
+			if slices.Contains(runs, task.RunRef{ID: c.ID, Run: c.Run}) {
+				c.late = true
+				w.unacknowledged[n] = c
 			}
 		}
 	}
@@ -159,27 +159,27 @@
 // returns what the store showed of a job at some time after asked.
 func (e *Executor) ApplyJobStates(now, asked time.Duration, state func(job string) JobState) {
 	for _, w := range e.order {
-		for n, h := range w.unacknowledged {
-			if h.lookUpAt > asked || h.late {
+		for n, c := range w.unacknowledged {
+			if c.lookUpAt > asked || c.late {
 				continue
 			}
-			s := state(h.ID.Job)
-			h.releasable = s == JobNotDurable && h.foundAtTakeover
-			h.late = !h.releasable && (s != JobOpen || h.lookedUp)
-			h.lookUpAt, h.lookedUp = now+confirmTimeout, true
-			w.unacknowledged[n] = h
+			s := state(c.ID.Job)
+			c.releasable = s == JobNotDurable && c.foundAtTakeover
+			c.late = !c.releasable && (s != JobOpen || c.lookedUp)
+			c.lookUpAt, c.lookedUp = now+confirmTimeout, true
+			w.unacknowledged[n] = c
 		}
-		e.releaseCompletions(now, w, "not_kept", func(h unacknowledgedCompletion) bool { return h.releasable })
+		e.releaseCompletions(now, w, "not_kept", func(c unacknowledgedCompletion) bool { return c.releasable })
 	}
 }
 
 // markOwnerLost notes that the coordinator of unacknowledged completions is unreachable. If that lasts,
 // another coordinator may take the job over and start its tasks again; the completions are late then.
 func (e *Executor) markOwnerLost(now time.Duration, w *worker, owner member.Process) {
-	for n, h := range w.unacknowledged {
-		if h.owner == owner && h.ownerLostAt == 0 {
-			h.ownerLostAt = now
-			w.unacknowledged[n] = h
+	for n, c := range w.unacknowledged {
+		if c.owner == owner && c.ownerLostAt == 0 {
+			c.ownerLostAt = now
+			w.unacknowledged[n] = c
 		}
 	}
 }
@@ -187,10 +187,10 @@
 // markLateCompletions marks completions as late whose coordinator has been unreachable for
 // lostOwnerTimeout.
 func (w *worker) markLateCompletions(now time.Duration) {
-	for n, h := range w.unacknowledged {
-		if h.ownerLostAt > 0 && now-h.ownerLostAt >= lostOwnerTimeout && !h.late {
-			h.late = true
-			w.unacknowledged[n] = h
+	for n, c := range w.unacknowledged {
+		if c.ownerLostAt > 0 && now-c.ownerLostAt >= lostOwnerTimeout && !c.late {
+			c.late = true
+			w.unacknowledged[n] = c
 		}
 	}
 }
@@ -201,14 +201,14 @@
 	w.markLateCompletions(now)
 	if w.awaitsLeaseExpiry() && len(w.runs) == 0 && (w.clock.ms > w.grantedUntil || now >= w.leasesExpiredBy()) {
 		e.emitEvent("lease_let_lapse", w, nil, fmt.Sprintf("ends=%d", len(w.unacknowledged)))
-		e.releaseCompletions(now, w, "lapsed", func(h unacknowledgedCompletion) bool { return h.late })
+		e.releaseCompletions(now, w, "lapsed", func(c unacknowledgedCompletion) bool { return c.late })
 	}
 }
 
 // awaitsLeaseExpiry reports whether the worker's lease has to expire, as it has late completions.
 func (w *worker) awaitsLeaseExpiry() bool {
-	for _, h := range w.unacknowledged {
-		if h.late {
+	for _, c := range w.unacknowledged {
+		if c.late {
 			return true
 		}
 	}
@@ -218,9 +218,9 @@
 // requestJobStates requests the states of jobs whose completions are due for a look-up.
 func (e *Executor) requestJobStates(now time.Duration) {
 	for _, w := range e.order {
-		for _, h := range w.unacknowledged {
-			if now >= h.lookUpAt && !h.late {
-				e.output.JobsToLookUp = append(e.output.JobsToLookUp, h.ID.Job)
+		for _, c := range w.unacknowledged {
+			if now >= c.lookUpAt && !c.late {
+				e.output.JobsToLookUp = append(e.output.JobsToLookUp, c.ID.Job)
 			}
 		}
 	}
@@ -262,12 +262,12 @@
 			t.Running = append(t.Running, task.RunningTask{ID: r.id, Run: r.number})
 			concerned = concerned || affected(r.id)
 		}
-		for n, h := range w.unacknowledged {
-			t.Completed = append(t.Completed, h.RunningTask)
-			if affected(h.ID) {
+		for n, c := range w.unacknowledged {
+			t.Completed = append(t.Completed, c.RunningTask)
+			if affected(c.ID) {
 				concerned = true
-				h.owner, h.ownerLostAt, h.foundAtTakeover = by, 0, false
-				w.unacknowledged[n] = h
+				c.owner, c.ownerLostAt, c.foundAtTakeover = by, 0, false
+				w.unacknowledged[n] = c
 			}
 		}
 		if concerned {
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -74,6 +74,7 @@
 	e.schedule(now)
 }
 
+// assign adds a worker that is new here, or marks a known one as assigned again.
 func (e *Executor) assign(now time.Duration, i WorkerInfo) {
 	w := e.workers[i.ID]
 	if w == nil {
@@ -119,6 +120,7 @@
 	e.schedule(now)
 }
 
+// removeWorker forgets a worker that has left.
 func (e *Executor) removeWorker(w *worker) {
 	delete(e.workers, w.info.ID)
 	// A task started in held capacity would run unsupervised: the executor does not read the
@@ -166,6 +168,7 @@
 	})
 }
 
+// returnTask reports a waiting task as not run to its coordinator; reservations need no report.
 func (e *Executor) returnTask(now time.Duration, q *queuedTask, reason string) {
 	if q.reserved {
 		return
@@ -176,7 +179,8 @@
 }
 
 // compareQueued orders the queue. Tasks within their shares come first. Of those, the task with the
-// earliest latest start comes first; a step of priority shifts that by priorityStep.
+// earliest latest start comes first, where a step of priority counts as priorityStep. Among equals the
+// task that has waited longest comes first.
 func compareQueued(a, b *queuedTask) int {
 	if order := cmp.Or(task.CompareOverShare(a.task, b.task), cmp.Compare(a.latestStart(), b.latestStart()), cmp.Compare(a.enqueuedAt, b.enqueuedAt)); order != 0 {
 		return order // most tasks differ by here; formatting an ID is costly
@@ -206,7 +210,7 @@
 				r.confirmEnd = confirm
 				e.discard(now, w, r, "withdrawn")
 			}
-			e.releaseCompletions(now, w, "withdrawn", func(h unacknowledgedCompletion) bool { return h.ID == id && h.knownTo(owner) })
+			e.releaseCompletions(now, w, "withdrawn", func(c unacknowledgedCompletion) bool { return c.ID == id && c.knownTo(owner) })
 		}
 		if confirm && !runs {
 			e.emitReport(owner, task.Report{ID: id, Outcome: task.NotRun, Reason: ReasonWithdrawn})
@@ -256,6 +260,8 @@
 	e.emitCall(now, w, Call{Kind: CallStop, ID: r.id, Run: r.number})
 }
 
+// emitCall emits an order with the worker's address, token and time-out, and notes the lease that it
+// grants.
 func (e *Executor) emitCall(now time.Duration, w *worker, c Call) {
 	c.Worker, c.Address, c.Token, c.sentAt, c.workerClock, c.Timeout = w.info.ID, w.info.Address, w.token, now, w.latestClock(), e.orderLatency.timeout()
 	if c.Deadline > w.grantedUntil {
@@ -359,6 +365,7 @@
 	e.queue = remaining
 }
 
+// startTask emits the start of a task on the worker, and a poll unless one is under way.
 func (e *Executor) startTask(now time.Duration, w *worker, q *queuedTask) {
 	clockNow, _ := w.clockAt(now)
 	r := &run{
--- a/executor/latency.go
+++ b/executor/latency.go
@@ -28,24 +28,25 @@
 // whether they are on time. The zero value has no observations.
 type latencyEstimate struct{ mean, deviation time.Duration }
 
-func (a *latencyEstimate) observe(d time.Duration) {
-	if a.mean == 0 {
-		a.mean, a.deviation = d, d/2
+func (l *latencyEstimate) observe(d time.Duration) {
+	if l.mean == 0 {
+		l.mean, l.deviation = d, d/2
 		return
 	}
-	a.deviation += time.Duration(deviationGain * float64((d-a.mean).Abs()-a.deviation))
-	a.mean += time.Duration(answerGain * float64(d-a.mean))
+	l.deviation += time.Duration(deviationGain * float64((d-l.mean).Abs()-l.deviation))
+	l.mean += time.Duration(answerGain * float64(d-l.mean))
 }
 
 // timeout is how long to wait for an answer.
-func (a *latencyEstimate) timeout() time.Duration { return a.boundedBelow(minOrderTimeout) }
+func (l *latencyEstimate) timeout() time.Duration { return l.boundedBelow(minOrderTimeout) }
 
 // suspicionDelay is the time after which an extra poll asks about a start without an answer.
-func (a *latencyEstimate) suspicionDelay() time.Duration { return a.boundedBelow(minSuspicionDelay) }
+func (l *latencyEstimate) suspicionDelay() time.Duration { return l.boundedBelow(minSuspicionDelay) }
 
-func (a *latencyEstimate) boundedBelow(least time.Duration) time.Duration {
-	if a.mean == 0 {
+// boundedBelow returns the estimate, at least the given time and at most maxOrderTimeout.
+func (l *latencyEstimate) boundedBelow(least time.Duration) time.Duration {
+	if l.mean == 0 {
 		return maxOrderTimeout
 	}
-	return min(max(a.mean+deviationCount*a.deviation, least), maxOrderTimeout)
+	return min(max(l.mean+deviationCount*l.deviation, least), maxOrderTimeout)
 }
--- a/executor/place.go
+++ b/executor/place.go
@@ -82,11 +82,11 @@
 
 // mayPlace returns false only where place finds nothing: no worker has the capacity, or only workers
 // that are so slow that the task is withheld from them.
-func (l *capacityBounds) mayPlace(now time.Duration, t *task.Task) bool {
-	if t.Demand.Fits(l.notSlow) {
+func (b *capacityBounds) mayPlace(now time.Duration, t *task.Task) bool {
+	if t.Demand.Fits(b.notSlow) {
 		return true
 	}
-	return t.Demand.Fits(l.slow) && (t.Label != "" || !TooSlow(now, t, l.minSlowness))
+	return t.Demand.Fits(b.slow) && (t.Label != "" || !TooSlow(now, t, b.minSlowness))
 }
 
 // placeKey ranks workers for a task; the least key is the best.
--- a/executor/polls.go
+++ b/executor/polls.go
@@ -38,6 +38,7 @@
 	e.emitCall(now, w, Call{Kind: CallPoll, Acknowledge: w.nextAcknowledge(), extra: true})
 }
 
+// tickWorker does what is due for a worker: taking it, polls, time-outs and stops.
 func (e *Executor) tickWorker(now time.Duration, w *worker) {
 	switch w.phase {
 	case acquiring, yielded:
--- a/executor/reserve.go
+++ b/executor/reserve.go
@@ -113,6 +113,7 @@
 	return w
 }
 
+// releaseHolds frees the held capacity that match selects.
 func (e *Executor) releaseHolds(match func(capacityHold) bool) {
 	e.capacityHolds = slices.DeleteFunc(e.capacityHolds, func(h capacityHold) bool {
 		if !match(h) {
--- a/executor/restart.go
+++ b/executor/restart.go
@@ -72,7 +72,7 @@
 		}
 	}
 	w.forgetCompletions()
-	e.forgetSlowdown(w) // it may run on another machine now
+	e.forgetSlowdown(w) // the new incarnation may have another speed
 	w.missedPolls, w.suspect, w.onProbation, w.consecutiveFailures = 0, false, false, 0
 	w.awaitedClaims = nil
 	if w.phase != held && w.phase != claiming && w.phase != acquiring {
@@ -118,11 +118,11 @@
 	for _, l := range a.Running {
 		listed[l.ID] = l.Run
 	}
-	for _, f := range a.Completions {
-		if r := w.runs[f.ID]; r != nil && r.number == f.Run && r.task != nil {
-			w.cursor = max(w.cursor, f.Number)
-			e.holdCompletion(now, w, r, f)
-			e.endRun(now, w, r, outcomeOf(f), f.Result)
+	for _, c := range a.Completions {
+		if r := w.runs[c.ID]; r != nil && r.number == c.Run && r.task != nil {
+			w.cursor = max(w.cursor, c.Number)
+			e.holdCompletion(now, w, r, c)
+			e.endRun(now, w, r, outcomeOf(c), c.Result)
 		}
 	}
 	for _, r := range w.sortedRuns() {
--- a/executor/slowdetection.go
+++ b/executor/slowdetection.go
@@ -166,11 +166,12 @@
 			e.refuteOutlier(now, w, s)
 		}
 		if s.ended {
-			e.updateSlowdown(w, func(p *slowdown) { p.observe(max(min(raw, reference+outlierThreshold), reference-outlierThreshold)) })
+			e.updateSlowdown(w, func(sd *slowdown) { sd.observe(max(min(raw, reference+outlierThreshold), reference-outlierThreshold)) })
 		}
 	}
 }
 
+// markUsual marks a slow worker as usual again, with the given slowdown.
 func (e *Executor) markUsual(w *worker, s observation, mean float64) {
 	e.setSlowdown(w, mean)
 	w.probeAt, w.probeInterval = 0, 0
@@ -210,11 +211,12 @@
 		}
 		w.slowdown.outlier.ratio, w.slowdown.outlier.at = s.low, now
 		if s.ended {
-			e.updateSlowdown(w, func(p *slowdown) { p.observe(reference + outlierThreshold) })
+			e.updateSlowdown(w, func(sd *slowdown) { sd.observe(reference + outlierThreshold) })
 		}
 	}
 }
 
+// markSlow marks a worker as slow, with the given slowdown, and schedules its first probe.
 func (e *Executor) markSlow(now time.Duration, w *worker, s observation, mean float64) {
 	e.setSlowdown(w, mean)
 	w.probeInterval = minProbeInterval
--- a/executor/slowdown.go
+++ b/executor/slowdown.go
@@ -42,33 +42,35 @@
 	importUntil time.Duration
 }
 
-func (p *slowdown) observe(ratio float64) {
-	p.runs++
-	p.mean += (ratio - p.mean) / float64(min(p.runs, slowdownRuns))
-	p.updateReported()
+func (s *slowdown) observe(ratio float64) {
+	s.runs++
+	s.mean += (ratio - s.mean) / float64(min(s.runs, slowdownRuns))
+	s.updateReported()
 }
 
 // set replaces the mean, and with it what the runs have shown.
-func (p *slowdown) set(mean float64) {
-	p.mean, p.runs, p.outlier = mean, minSlowdownRuns, outlier{}
-	p.updateReported()
+func (s *slowdown) set(mean float64) {
+	s.mean, s.runs, s.outlier = mean, minSlowdownRuns, outlier{}
+	s.updateReported()
 }
 
-func (p *slowdown) updateReported() {
-	if math.Abs(p.mean-p.reported) >= reportStep {
-		p.reported = p.mean
-		p.reportedRatio = math.Exp(p.reported)
+// updateReported makes the mean the reported value if it has changed by reportStep.
+func (s *slowdown) updateReported() {
+	if math.Abs(s.mean-s.reported) >= reportStep {
+		s.reported = s.mean
+		s.reportedRatio = math.Exp(s.reported)
 	}
 }
 
-func (p *slowdown) known() bool { return p.runs >= minSlowdownRuns }
+// known reports whether enough runs were observed for the mean to count.
+func (s *slowdown) known() bool { return s.runs >= minSlowdownRuns }
 
 // reportedSlowdown is actual over declared time as reported to others; 0: not known.
-func (p *slowdown) reportedSlowdown() float64 {
-	if !p.known() {
+func (s *slowdown) reportedSlowdown() float64 {
+	if !s.known() {
 		return 0
 	}
-	return cmp.Or(p.reportedRatio, 1) // no change reported yet: as declared
+	return cmp.Or(s.reportedRatio, 1) // no change reported yet: as declared
 }
 
 // slowdownMean is the mean slowdown of an executor's workers. Each worker counts the same, however
@@ -78,17 +80,17 @@
 	count int
 }
 
-func (u *slowdownMean) add(p slowdown) {
-	if p.known() {
-		u.sum += p.mean
-		u.count++
+func (m *slowdownMean) add(s slowdown) {
+	if s.known() {
+		m.sum += s.mean
+		m.count++
 	}
 }
 
-func (u *slowdownMean) remove(p slowdown) {
-	if p.known() {
-		u.sum -= p.mean
-		u.count--
+func (m *slowdownMean) remove(s slowdown) {
+	if s.known() {
+		m.sum -= s.mean
+		m.count--
 	}
 }
 
@@ -131,7 +133,7 @@
 }
 
 // updateSlowdown lets f change a worker's slowdown, and updates the mean of the service's workers.
-func (e *Executor) updateSlowdown(w *worker, f func(p *slowdown)) {
+func (e *Executor) updateSlowdown(w *worker, f func(sd *slowdown)) {
 	u := e.usual[w.info.Service]
 	u.remove(w.slowdown)
 	f(&w.slowdown)
@@ -140,13 +142,13 @@
 }
 
 func (e *Executor) setSlowdown(w *worker, mean float64) {
-	e.updateSlowdown(w, func(p *slowdown) { p.set(mean) })
+	e.updateSlowdown(w, func(sd *slowdown) { sd.set(mean) })
 }
 
 // forgetSlowdown drops what is known of a worker's slowdown when it leaves, restarts or changes its
 // service.
 func (e *Executor) forgetSlowdown(w *worker) {
-	e.updateSlowdown(w, func(p *slowdown) { *p = slowdown{importUntil: p.importUntil} })
+	e.updateSlowdown(w, func(sd *slowdown) { *sd = slowdown{importUntil: sd.importUntil} })
 }
 
 // observeEndedRun evaluates the run time of a successful run that this executor started. It ignores
--- a/executor/takeover.go
+++ b/executor/takeover.go
@@ -62,13 +62,13 @@
 		}
 		t.Running = append(t.Running, l.RunningTask)
 	}
-	for _, f := range a.Completions {
-		if f.Number <= w.cursor {
+	for _, c := range a.Completions {
+		if c.Number <= w.cursor {
 			continue // of a run that this executor started itself
 		}
-		w.cursor = f.Number
-		t.Completed = append(t.Completed, f.RunningTask)
-		e.holdFoundCompletion(now, w, f)
+		w.cursor = c.Number
+		t.Completed = append(t.Completed, c.RunningTask)
+		e.holdFoundCompletion(now, w, c)
 	}
 	// This holder's leases must not shorten a lease that an earlier holder granted.
 	w.grantedUntil = max(w.grantedUntil, a.Clock+e.config.Lease.Milliseconds())
@@ -109,6 +109,7 @@
 	e.schedule(now)
 }
 
+// claim gives a coordinator a run that it claims, or reports to it how the run ended.
 func (e *Executor) claim(now time.Duration, w *worker, owner member.Process, t *task.Task) {
 	r := w.runs[t.ID]
 	if r == nil || r.number != t.Run {
--- a/executor/worker.go
+++ b/executor/worker.go
@@ -124,7 +124,8 @@
 	// grantedUntil is the latest lease end that any order of this holder may have set, in ms on the
 	// worker's clock.
 	grantedUntil int64
-	cursor       uint64
+	// cursor is the number of the last completion that was read.
+	cursor uint64
 	// acknowledgeAnswered is the number of the last completion whose acknowledgement the worker
 	// has answered.
 	acknowledgeAnswered uint64
