--- a/executor/answers.go
+++ b/executor/answers.go
@@ -116,7 +116,8 @@
 	}
 }
 
-// handleStopAnswer notes that the worker has taken a stop, and schedules the poll that shows its effect.
+// handleStopAnswer notes that the worker has taken a stop, and schedules the poll that shows its
+// effect.
 func (e *Executor) handleStopAnswer(now time.Duration, w *worker, c Call, a Answer) {
 	r := w.runs[c.ID]
 	switch {
--- a/executor/durable.go
+++ b/executor/durable.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// OrphanTimeout is how long a durable job's run goes on without its coordinator. Within this time
-	// a successor takes the job over and claims the run. Otherwise the executor stops the run, so that
-	// its task is safe to start again.
+	// OrphanTimeout is how long a durable job's run goes on without its coordinator. Within this
+	// time a successor takes the job over and claims the run. Otherwise the executor stops the run,
+	// so that its task is safe to start again.
 	OrphanTimeout = 1200 * time.Millisecond
-	// unacknowledgedPollDelay is the delay between polls of a worker that lists completions which must
-	// not be acknowledged yet. Such a worker answers polls at once and does not hold them until a run
-	// ends.
+	// unacknowledgedPollDelay is the delay between polls of a worker that lists completions which
+	// must not be acknowledged yet. Such a worker answers polls at once and does not hold them
+	// until a run ends.
 	unacknowledgedPollDelay = 25 * time.Millisecond
 	// lostOwnerTimeout is how long after the loss of its coordinator a completion may still be
 	// confirmed as stored. Within this time a successor takes the job over and reconciles it, and no
@@ -35,9 +35,9 @@
 	// lookUpAt is when the executor asks whether the job has ended.
 	lookUpAt time.Duration
 	// late: the completion may be acknowledged only after the worker's lease has expired, when it
-	// counts for nothing. Its coordinator has not confirmed it in time, or has started the task again.
-	// Another coordinator may have started the task again by then. If the completion were acknowledged
-	// now, that run would be a second run of a task that was done.
+	// counts for nothing. Its coordinator has not confirmed it in time, or has started the task
+	// again. Another coordinator may have started the task again by then. If the completion were
+	// acknowledged now, that run would be a second run of a task that was done.
 	late bool
 	// lookedUp: a look-up found that its job had not ended.
 	lookedUp bool
@@ -90,8 +90,8 @@
 	}
 }
 
-// outcomeOfUnlisted is how a run ended that the worker no longer lists as running. It is Terminated unless an
-// unacknowledged completion shows otherwise.
+// outcomeOfUnlisted is how a run ended that the worker no longer lists as running. It is Terminated
+// unless an unacknowledged completion shows otherwise.
 func (w *worker) outcomeOfUnlisted(t *task.Task) task.Outcome {
 	for _, c := range w.unacknowledged {
 		if c.ID == t.ID && c.Run == t.Run {
@@ -126,9 +126,9 @@
 	}
 }
 
-// ConfirmStored tells that completions are stored. A late completion waits for the lease to expire all
-// the same: the coordinator that stored it may not know of all coordinators that may have started the
-// task again.
+// ConfirmStored tells that completions are stored. A late completion waits for the lease to expire
+// all the same: the coordinator that stored it may not know of all coordinators that may have
+// started the task again.
 func (e *Executor) ConfirmStored(now time.Duration, runs []task.RunRef) {
 	for _, w := range e.order {
 		if len(w.unacknowledged) == 0 {
@@ -153,10 +153,10 @@
 	}
 }
 
-// ApplyJobStates releases completions of jobs that were never durable. Only a durable job's coordinator
-// can release its completions, as it knows whether the task was started again after the completion. That
-// the job has ended meanwhile shows neither that this completion was known nor to whom. The state function
-// returns what the store showed of a job at some time after asked.
+// ApplyJobStates releases completions of jobs that were never durable. Only a durable job's
+// coordinator can release its completions, as it knows whether the task was started again after the
+// completion. That the job has ended meanwhile shows neither that this completion was known nor to
+// whom. The state function returns what the store showed of a job at some time after asked.
 func (e *Executor) ApplyJobStates(now, asked time.Duration, state func(job string) JobState) {
 	for _, w := range e.order {
 		for n, c := range w.unacknowledged {
@@ -173,8 +173,9 @@
 	}
 }
 
-// markOwnerLost notes that the coordinator of unacknowledged completions is unreachable. If that lasts,
-// another coordinator may take the job over and start its tasks again; the completions are late then.
+// markOwnerLost notes that the coordinator of unacknowledged completions is unreachable. If that
+// lasts, another coordinator may take the job over and start its tasks again; the completions are
+// late then.
 func (e *Executor) markOwnerLost(now time.Duration, w *worker, owner member.Process) {
 	for n, c := range w.unacknowledged {
 		if c.owner == owner && c.ownerLostAt == 0 {
@@ -195,8 +196,9 @@
 	}
 }
 
-// expireIdleLease lets the lease of a worker with late completions expire. The worker gets no new runs.
-// Once nothing runs there any more and the last lease has expired, the completions are acknowledged.
+// expireIdleLease lets the lease of a worker with late completions expire. The worker gets no new
+// runs. Once nothing runs there any more and the last lease has expired, the completions are
+// acknowledged.
 func (e *Executor) expireIdleLease(now time.Duration, w *worker) {
 	w.markLateCompletions(now)
 	if w.awaitsLeaseExpiry() && len(w.runs) == 0 && (w.clock.ms > w.grantedUntil || now >= w.leasesExpiredBy()) {
@@ -226,8 +228,9 @@
 	}
 }
 
-// WithdrawDurable takes tasks of durable jobs back from a coordinator that may not order them any more. It
-// drops tasks that wait and stops those that run, and keeps their completions for the successor.
+// WithdrawDurable takes tasks of durable jobs back from a coordinator that may not order them any
+// more. It drops tasks that wait and stops those that run, and keeps their completions for the
+// successor.
 func (e *Executor) WithdrawDurable(now time.Duration, owner member.Process, ids []task.ID) {
 	for _, id := range ids {
 		e.queue = slices.DeleteFunc(e.queue, func(q *queuedTask) bool { return q.owner == owner && q.task.ID == id })
@@ -240,9 +243,9 @@
 	e.schedule(now)
 }
 
-// Reconcile tells a coordinator what this executor knows of durable jobs that it looks after. For each
-// worker concerned it lists all runs and all unacknowledged completions. The coordinator takes a run that
-// is not listed as over. Tasks that wait are returned, as they have not run.
+// Reconcile tells a coordinator what this executor knows of durable jobs that it looks after. For
+// each worker concerned it lists all runs and all unacknowledged completions. The coordinator takes
+// a run that is not listed as over. Tasks that wait are returned, as they have not run.
 func (e *Executor) Reconcile(now time.Duration, by member.Process, jobs []string) {
 	affected := func(id task.ID) bool { return slices.Contains(jobs, id.Job) }
 	e.queue = slices.DeleteFunc(e.queue, func(q *queuedTask) bool {
--- a/executor/example_test.go
+++ b/executor/example_test.go
@@ -11,8 +11,8 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// An embedder carries out calls and feeds their answers back. Here one worker is taken
-// over, runs a task and lists its end.
+// An embedder carries out calls and passes on their answers. Here the executor takes one worker
+// over, and the worker runs a task and lists its completion.
 func Example() {
 	e := executor.New(executor.Config{TokenSource: func() uint64 { return 1 }})
 	now := time.Second
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -30,15 +30,17 @@
 	capacityHolds []capacityHold
 	// orderLatency estimates how long workers take to answer orders.
 	orderLatency latencyEstimate
-	// usual is the mean slowdown of the workers in use here, by service. medianSlowdowns is the median
-	// slowdown among all holders' workers as a logarithm, for the services for which it is known.
+	// usual is the mean slowdown of the workers in use here, by service. medianSlowdowns is the
+	// median slowdown among all holders' workers as a logarithm, for the services for which it is
+	// known.
 	usual           map[string]slowdownMean
 	medianSlowdowns map[string]float64
 	// steps holds what recent tasks have shown of their workers' speed, by step of the job.
 	steps map[stepKey]*stepStats
 	// retired holds the failure domains whose workers get no new runs.
 	retired map[string]bool
-	// runsLeftAt is when this executor last left a run of a lost coordinator to a worker's next holder.
+	// runsLeftAt is when this executor last left a run of a lost coordinator to a worker's next
+	// holder.
 	runsLeftAt map[member.Process]time.Duration
 	// epochs counts the holding epochs that this executor has begun, over all workers.
 	epochs uint64
@@ -179,8 +181,8 @@
 }
 
 // compareQueued orders the queue. Tasks within their shares come first. Of those, the task with the
-// earliest latest start comes first, where a step of priority counts as priorityStep. Among equals the
-// task that has waited longest comes first.
+// earliest latest start comes first, where a step of priority counts as priorityStep. Among equals
+// the task that has waited longest comes first.
 func compareQueued(a, b *queuedTask) int {
 	if order := cmp.Or(task.CompareOverShare(a.task, b.task), cmp.Compare(a.latestStart(), b.latestStart()), cmp.Compare(a.enqueuedAt, b.enqueuedAt)); order != 0 {
 		return order // most tasks differ by here; formatting an ID is costly
@@ -294,9 +296,9 @@
 	ReasonLaterEpoch = "later_tenure"
 	// ReasonReclaimed: the coordinator has found capacity elsewhere.
 	ReasonReclaimed = "reclaimed"
-	// ReasonWorkerDied, ReasonWorkerRestarted and ReasonWorkerRemoved are reasons of reports of Terminated:
-	// the run ended with its worker. Another incarnation answers at the worker's address, the worker
-	// has restarted under its ID, or its registry entry was removed.
+	// ReasonWorkerDied, ReasonWorkerRestarted and ReasonWorkerRemoved are reasons of reports of
+	// Terminated: the run ended with its worker. Another incarnation answers at the worker's
+	// address, the worker has restarted under its ID, or its registry entry was removed.
 	ReasonWorkerDied      = "worker_died"
 	ReasonWorkerRestarted = "worker_reborn"
 	ReasonWorkerRemoved   = "worker_removed"
--- a/executor/messages.go
+++ b/executor/messages.go
@@ -122,7 +122,8 @@
 	Verdict Verdict
 	// Clock is the worker's clock in ms; 0 if the answer does not state it.
 	Clock int64
-	// Incarnation is the start time of the incarnation that answers; 0 if the answer does not state it.
+	// Incarnation is the start time of the incarnation that answers; 0 if the answer does not state
+	// it.
 	Incarnation int64
 	Running     []ListedRun
 	Completions []Completion
--- a/executor/overshare_test.go
+++ b/executor/overshare_test.go
@@ -10,7 +10,8 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// A surplus task, however urgent, that keeps one within its share waiting, or is foreseen to.
+// Guards against a task over its share that, however urgent, delays a task within its share, or
+// counts as work ahead of it.
 func TestOverShareTaskWaitsBehindOthers(t *testing.T) {
 	mk := func(surplus bool, due time.Duration) *task.Task {
 		return &task.Task{OverShare: surplus, Due: due, ExpectedRunTime: 100 * time.Millisecond, Demand: capacity.Vector{MilliCPU: 1000}}
--- a/executor/probe.go
+++ b/executor/probe.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// minProbeInterval is the time after which a slow worker gets a probe: a task that shows whether it
-	// is still slow. The interval doubles with each probe up to maxProbeInterval, as each probe may
-	// make a job late.
+	// minProbeInterval is the time after which a slow worker gets a probe: a task that shows
+	// whether it is still slow. The interval doubles with each probe up to maxProbeInterval, as
+	// each probe may make a job late.
 	minProbeInterval = 500 * time.Millisecond
 	maxProbeInterval = 4 * time.Second
 	// minProbe is the least time after which the executor reads a probe's progress.
--- a/executor/quiescent.go
+++ b/executor/quiescent.go
@@ -8,16 +8,17 @@
 	"github.com/lavendercleat/lavendercleat/member"
 )
 
-// maxLeaseTime is how long a run can go on without further orders after the last order that the worker
-// may have obeyed: the longest lease, plus clock drift, plus a margin for timers that fire late.
+// maxLeaseTime is how long a run can go on without further orders after the last order that the
+// worker may have obeyed: the longest lease, plus clock drift, plus a margin for timers that fire
+// late.
 func (e *Executor) maxLeaseTime() time.Duration {
 	return time.Duration(float64(e.config.MaxLease)/(1-clockDrift)) + leaseMargin
 }
 
-// Quiescent reports whether this executor has nothing left of what a lost coordinator ordered, durable
-// jobs aside. Only then may another coordinator start that one's jobs. Unclaimed runs on a worker that
-// was taken over may be that coordinator's too. So may runs on a worker that may have been taken by an
-// order without an answer, as the earlier holder does not answer for it any more.
+// Quiescent reports whether this executor has nothing left of what a lost coordinator ordered,
+// durable jobs aside. Only then may another coordinator start that one's jobs. Unclaimed runs on a
+// worker that was taken over may be that coordinator's too. So may runs on a worker that may have
+// been taken by an order without an answer, as the earlier holder does not answer for it any more.
 func (e *Executor) Quiescent(now time.Duration, owner member.Process) bool {
 	if slices.ContainsFunc(e.queue, func(q *queuedTask) bool { return q.owner == owner && !q.task.Durable }) {
 		return false
@@ -35,9 +36,9 @@
 	return true
 }
 
-// QuiescentAfterReturn reports the same for a coordinator that was lost and is back, for what it ordered
-// before its loss. Where another holder took a worker from this executor meanwhile, that holder stops
-// unclaimed runs, or they end with their lease.
+// QuiescentAfterReturn reports the same for a coordinator that was lost and is back, for what it
+// ordered before its loss. Where another holder took a worker from this executor meanwhile, that
+// holder stops unclaimed runs, or they end with their lease.
 func (e *Executor) QuiescentAfterReturn(now time.Duration, owner member.Process) bool {
 	if at, ok := e.runsLeftAt[owner]; ok && now-at < e.maxLeaseTime() {
 		return false
--- a/executor/reserve.go
+++ b/executor/reserve.go
@@ -20,7 +20,8 @@
 	// free again after this time.
 	capacityHoldTime = 15 * time.Millisecond
 	// maxReservations bounds the reservations in the queue, as each step tries each of them. When a
-	// burst of jobs exceeds it, further reservations are left out, and their tasks wait where they are.
+	// burst of jobs exceeds it, further reservations are left out, and their tasks wait where they
+	// are.
 	maxReservations = 1000
 )
 
--- a/executor/restart.go
+++ b/executor/restart.go
@@ -7,8 +7,8 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// EventWorkerRestarted tells that a crashed worker has restarted under its ID, and which source showed
-// it.
+// EventWorkerRestarted tells that a crashed worker has restarted under its ID, and which source
+// showed it.
 const EventWorkerRestarted = "worker_life_changed"
 
 // A worker may crash and restart under its ID. The new incarnation runs nothing, has obeyed no token,
@@ -22,9 +22,9 @@
 // The executor therefore takes the worker again, by a higher token. From its answer on, the new
 // incarnation refuses all earlier orders, and its list is reliable.
 
-// acceptEntry takes the incarnation that a registry entry states. It reports whether the entry is of the
-// current incarnation or a later one. An entry of an earlier incarnation may be read after a list of the
-// new one; the incarnation with the later start time is the newer one.
+// acceptEntry takes the incarnation that a registry entry states. It reports whether the entry is
+// of the current incarnation or a later one. An entry of an earlier incarnation may be read after a
+// list of the new one; the incarnation with the later start time is the newer one.
 func (e *Executor) acceptEntry(now time.Duration, w *worker, i WorkerInfo) bool {
 	switch {
 	case i.Incarnation == 0 || i.Incarnation == w.incarnation:
@@ -39,8 +39,8 @@
 }
 
 // attributeAnswer finds out which incarnation of the worker has answered. An answer by an earlier
-// incarnation, or the first one by a new incarnation, shows nothing of the call's effect on the current
-// one. It counts as no answer.
+// incarnation, or the first one by a new incarnation, shows nothing of the call's effect on the
+// current one. It counts as no answer.
 func (e *Executor) attributeAnswer(now time.Duration, w *worker, c Call, a Answer) Answer {
 	none := Answer{Verdict: Unknown}
 	switch {
@@ -61,8 +61,8 @@
 }
 
 // handleRestart handles a crash of the worker and its restart under its ID. Runs that the old
-// incarnation has confirmed are over. Starts without an answer may still reach the new incarnation; the
-// executor decides them once it has taken the worker.
+// incarnation has confirmed are over. Starts without an answer may still reach the new incarnation;
+// the executor decides them once it has taken the worker.
 func (e *Executor) handleRestart(now time.Duration, w *worker, incarnation int64, source string) {
 	e.emitEvent(EventWorkerRestarted, w, nil, fmt.Sprintf("source=%s incarnation=%d before=%d runs=%d", source, incarnation, w.incarnation, len(w.runs)))
 	w.incarnation, w.incarnationSince = incarnation, now
@@ -96,9 +96,9 @@
 	clear(w.unacknowledged)
 }
 
-// nextAcknowledge is the number up to which to acknowledge completions; 0 if the worker has answered
-// that acknowledgement before. Sent again, it could reach a new incarnation of the worker, which would
-// forget as many completions of its own.
+// nextAcknowledge is the number up to which to acknowledge completions; 0 if the worker has
+// answered that acknowledgement before. Sent again, it could reach a new incarnation of the worker,
+// which would forget as many completions of its own.
 func (w *worker) nextAcknowledge() uint64 {
 	if n := w.acknowledgeable(); n > w.acknowledgeAnswered {
 		return n
@@ -106,12 +106,13 @@
 	return 0
 }
 
-// resolveEarlierRuns decides the runs that this executor had ordered before it took the worker again.
-// Those that the new list shows go on or have ended. All others never start, as the worker now refuses
-// orders with earlier tokens.
+// resolveEarlierRuns decides the runs that this executor had ordered before it took the worker
+// again. Those that the new list shows go on or have ended. All others never start, as the worker
+// now refuses orders with earlier tokens.
 func (e *Executor) resolveEarlierRuns(now time.Duration, w *worker, a Answer) {
 	if w.restarted {
-		// A late order, with a deadline by the old incarnation's clock, may have got the longest lease.
+		// A late order, with a deadline by the old incarnation's clock, may have got the longest
+		// lease.
 		w.clock, w.grantedUntil, w.restarted = clockReading{a.Clock, now}, a.Clock+e.config.MaxLease.Milliseconds(), false
 	}
 	listed := make(map[task.ID]uint32, len(a.Running))
@@ -134,8 +135,8 @@
 	}
 }
 
-// expireRestarted gives up starts without an answer at a restarted worker that cannot be taken, once the
-// leases that they may have got have expired.
+// expireRestarted gives up starts without an answer at a restarted worker that cannot be taken,
+// once the leases that they may have got have expired.
 func (e *Executor) expireRestarted(now time.Duration, w *worker) {
 	if w.restarted && len(w.runs) > 0 && now >= max(w.leasesExpiredBy(), w.incarnationSince+e.config.MaxLease) {
 		e.handleLeaseExpired(now, w)
--- a/executor/slowdetection.go
+++ b/executor/slowdetection.go
@@ -10,8 +10,8 @@
 
 const (
 	// speedChangeThreshold is by how much, as a logarithm, a run's speed has to change between two
-	// measurements to show that its worker's speed has changed. The error of the declared time cancels
-	// out, as it is the same in both.
+	// measurements to show that its worker's speed has changed. The error of the declared time
+	// cancels out, as it is the same in both.
 	speedChangeThreshold = 0.7
 	// outlierThreshold is by how much, as a logarithm, a run has to differ from its worker's slowdown
 	// to be an outlier. Declared times are off by half, so one run in a hundred is by chance.
@@ -238,8 +238,8 @@
 	e.stopLateRuns(now, w)
 }
 
-// measureProgress returns what a run's progress shows of its speed since the last measurement. Runs of
-// durable jobs show nothing, as they may continue from a checkpoint.
+// measureProgress returns what a run's progress shows of its speed since the last measurement. Runs
+// of durable jobs show nothing, as they may continue from a checkpoint.
 func (r *run) measureProgress(now time.Duration, clockMS int64) (observation, bool) {
 	if r.state != running || r.task == nil || r.deadline == 0 || r.task.Durable || r.runningClock == 0 {
 		return observation{}, false
--- a/executor/slowdown.go
+++ b/executor/slowdown.go
@@ -9,12 +9,12 @@
 const (
 	// slowdownRuns is how many runs a worker's slowdown averages over; older ones count less.
 	slowdownRuns = 8
-	// minSlowdownRuns is how many runs it takes to know a worker's slowdown. Declared times are off by
-	// half, so the mean is off by a quarter by then.
+	// minSlowdownRuns is how many runs it takes to know a worker's slowdown. Declared times are off
+	// by half, so the mean is off by a quarter by then.
 	minSlowdownRuns = 4
-	// alikeTolerance is by how much, as a logarithm, a worker's slowdown may differ from the usual one
-	// before the worker counts as slower or faster. A smaller difference is chance, or makes no job
-	// late.
+	// alikeTolerance is by how much, as a logarithm, a worker's slowdown may differ from the usual
+	// one before the worker counts as slower or faster. A smaller difference is chance, or makes no
+	// job late.
 	alikeTolerance = 0.25
 	// reportStep is by how much, as a logarithm, a slowdown has to change before the executor reports
 	// the new value. A smaller step would change the reported value with each run.
@@ -22,8 +22,8 @@
 	// importMaxAge is the age up to which the executor imports a slowdown that another holder has
 	// reported. Workers turn slow for seconds more often than for good.
 	importMaxAge = 30 * time.Second
-	// importPeriod is how long the executor looks for a reported slowdown of a new worker. Within this
-	// time a process that has just started has received the reports of all others.
+	// importPeriod is how long the executor looks for a reported slowdown of a new worker. Within
+	// this time a process that has just started has received the reports of all others.
 	importPeriod = 2 * time.Second
 )
 
--- a/executor/takeover.go
+++ b/executor/takeover.go
@@ -91,8 +91,8 @@
 	e.schedule(now)
 }
 
-// HandleClaims handles a coordinator's claims. Claimed runs that are listed go on for it; for the others
-// it gets a report of how they ended.
+// HandleClaims handles a coordinator's claims. Claimed runs that are listed go on for it; for the
+// others it gets a report of how they ended.
 func (e *Executor) HandleClaims(now time.Duration, c Claims) {
 	w := e.workers[c.Worker]
 	if w == nil || w.phase != claiming && w.phase != held {
--- a/executor/worker.go
+++ b/executor/worker.go
@@ -68,8 +68,8 @@
 	percent    int
 	progressAt time.Duration
 	// The next measurement of the run's speed starts from measuredPercent, its progress at
-	// measuredClock on the worker's clock. lastMeasuredAt is when the run was last measured. measured:
-	// it was. firstBounds are the bounds of the first measurement.
+	// measuredClock on the worker's clock. lastMeasuredAt is when the run was last measured.
+	// measured: it was. firstBounds are the bounds of the first measurement.
 	measuredPercent int
 	measuredClock   int64
 	lastMeasuredAt  time.Duration
@@ -93,7 +93,8 @@
 	return " coordinator=" + r.owner.Address.String()
 }
 
-// clockReading is a reading of a worker's clock, with the time of the reading on the executor's clock.
+// clockReading is a reading of a worker's clock, with the time of the reading on the executor's
+// clock.
 type clockReading struct {
 	ms int64
 	at time.Duration
