--- a/executor/answers.go
+++ b/executor/answers.go
@@ -169,7 +169,7 @@
 	}
 }
 
-// endAllRuns reports all runs of a worker as gone.
+// endAllRuns ends all runs of a worker as terminated.
 func (e *Executor) endAllRuns(now time.Duration, w *worker, reason string) {
 	for _, r := range w.sortedRuns() {
 		e.endRun(now, w, r, task.Terminated, reason)
@@ -201,8 +201,8 @@
 
 // handlePollAnswer handles the answer to a poll, and sends the next standing poll.
 func (e *Executor) handlePollAnswer(now time.Duration, w *worker, c Call, a Answer) {
-	if c.probe {
-		e.handleProbeAnswer(now, w, a)
+	if c.withoutToken {
+		e.handleTokenlessAnswer(now, w, a)
 		return
 	}
 	if c.Token != w.token {
--- a/executor/capacity.go
+++ b/executor/capacity.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// WorkerCapacities returns the capacity of each worker that coordinators are told of.
+// WorkerCapacities returns the capacity of each worker that is reported to coordinators.
 func (e *Executor) WorkerCapacities(now time.Duration) []WorkerCapacity {
 	return e.AppendWorkerCapacities(make([]WorkerCapacity, 0, len(e.order)), now)
 }
--- a/executor/durable.go
+++ b/executor/durable.go
@@ -53,8 +53,8 @@
 // EventCompletionReleased tells that a completion may be acknowledged, and why.
 const EventCompletionReleased = "end_settled"
 
-// knownTo reports whether the coordinator was told of the completion and has been reachable since.
-// Otherwise it may have started the task again after the completion.
+// knownTo reports whether the completion was reported to the coordinator and it has been reachable
+// since. Otherwise it may have started the task again after the completion.
 func (c unacknowledgedCompletion) knownTo(owner member.Process) bool {
 	return c.owner == owner && c.ownerLostAt == 0 && !c.late
 }
@@ -156,7 +156,9 @@
 // ApplyJobStates releases completions of jobs that were never durable. Only a durable job's
 // coordinator can release its completions, as it knows whether the task was started again after the
 // completion. That the job has ended meanwhile shows neither that this completion was known nor to
-// whom. The state function returns what the store showed of a job at some time after asked.
+// whom. A completion of any other job becomes late when its job
+// is no longer open, or is still open at the second look-up. The state function returns what the
+// store showed of a job at some time after asked.
 func (e *Executor) ApplyJobStates(now, asked time.Duration, state func(job string) JobState) {
 	for _, w := range e.order {
 		for n, c := range w.unacknowledged {
@@ -244,8 +246,9 @@
 }
 
 // Reconcile tells a coordinator what this executor knows of durable jobs that it looks after. For
-// each worker concerned it lists all runs and all unacknowledged completions. The coordinator takes
-// a run that is not listed as over. Tasks that wait are returned, as they have not run.
+// each worker concerned it lists all runs and all unacknowledged completions. If a
+// list does not show a run, the coordinator takes that run as over. Tasks that wait are returned, as
+// they have not run.
 func (e *Executor) Reconcile(now time.Duration, by member.Process, jobs []string) {
 	affected := func(id task.ID) bool { return slices.Contains(jobs, id.Job) }
 	e.queue = slices.DeleteFunc(e.queue, func(q *queuedTask) bool {
--- a/executor/epoch.go
+++ b/executor/epoch.go
@@ -16,7 +16,7 @@
 // inKnownEpoch reports whether the task may start in the worker's current epoch.
 func (w *worker) inKnownEpoch(t *task.Task) bool { return t.MaxEpoch == 0 || w.epoch <= t.MaxEpoch }
 
-// visible reports whether coordinators are told of the worker.
+// visible reports whether the worker and its capacity are reported to coordinators.
 func (w *worker) visible() bool { return w.phase == held || w.phase == claiming || len(w.runs) > 0 }
 
 // availableFor reports whether the worker, which is in use or being taken, may run the task in some
@@ -25,9 +25,9 @@
 	return w.phase != released && w.phase != yielded && !w.excluded() && w.missedPolls < stopExtendingAfterMissed && w.canRun(t)
 }
 
-// fitsOnlyLaterEpoch reports whether only workers in epochs that the coordinator did not know of have
-// capacity for the task. The coordinator has been told of these epochs by now, and may offer the task
-// again.
+// fitsOnlyLaterEpoch reports whether only workers in epochs that the coordinator did not know of
+// have capacity for the task. These epochs have been reported to the coordinator by now, and it may
+// offer the task again.
 func (e *Executor) fitsOnlyLaterEpoch(now time.Duration, t *task.Task) bool {
 	return e.laterEpochReported(t) && slices.ContainsFunc(e.order, func(w *worker) bool { return !w.inKnownEpoch(t) && e.hasCapacity(now, w, t) })
 }
@@ -41,7 +41,7 @@
 	})
 }
 
-// laterEpochReported reports whether coordinators have been told of epochs after those that the
+// laterEpochReported reports whether coordinators have received epochs after those that the
 // task may start in.
 func (e *Executor) laterEpochReported(t *task.Task) bool {
 	return t.MaxEpoch > 0 && t.MaxEpoch < e.epochs && len(e.output.Takeovers) == 0
--- a/executor/messages.go
+++ b/executor/messages.go
@@ -57,8 +57,8 @@
 	Timeout time.Duration
 	// extra marks a poll beside the standing one.
 	extra bool
-	// probe marks a poll without a token, which does not take the worker.
-	probe bool
+	// withoutToken marks a poll that does not take the worker.
+	withoutToken bool
 	// sentAt is when the call was emitted, and workerClock the latest reading of the worker's clock
 	// then.
 	sentAt      time.Duration
@@ -106,7 +106,7 @@
 type Completion struct {
 	Number uint64
 	task.RunningTask
-	// Result is the worker's own word for how the run ended, for logs.
+	// Result is how the run ended in the worker's own terms, for logs.
 	Result string
 }
 
@@ -192,7 +192,7 @@
 	EventDiscarded = "run_discarded"
 )
 
-// WorkerCapacity is the free and total capacity of one worker, as coordinators are told it.
+// WorkerCapacity is the free and total capacity of one worker, as reported to coordinators.
 type WorkerCapacity struct {
 	Worker  string
 	Service string
--- a/executor/place.go
+++ b/executor/place.go
@@ -15,7 +15,7 @@
 
 // place returns the worker on which to start a task, or nil. It prefers workers on which the task
 // has not failed, then workers on which the task will be on time, else the fastest, and of those the
-// one with the least free capacity, so that large tasks find room elsewhere. A task that would be
+// one with the least free capacity, so that large tasks find capacity elsewhere. A task that would be
 // late only because of the worker's speed waits while it can be on time on another worker.
 func (e *Executor) place(now time.Duration, t *task.Task) *worker {
 	var best *worker
--- a/executor/polls.go
+++ b/executor/polls.go
@@ -75,7 +75,7 @@
 func (e *Executor) acquire(now time.Duration, w *worker) {
 	w.polling = true
 	if w.unreachable {
-		e.output.Calls = append(e.output.Calls, Call{Kind: CallPoll, Worker: w.info.ID, Address: w.info.Address, probe: true, sentAt: now})
+		e.output.Calls = append(e.output.Calls, Call{Kind: CallPoll, Worker: w.info.ID, Address: w.info.Address, withoutToken: true, sentAt: now})
 		return
 	}
 	w.phase, w.extraPolling = acquiring, false
@@ -83,12 +83,12 @@
 	e.emitCall(now, w, Call{Kind: CallPoll})
 }
 
-// handleProbeAnswer handles the answer of a worker that could not be reached before. If the worker
-// obeys another holder, a partition may just have ended: that holder kept the worker and will have
-// reconnected in a moment. Were this executor to take the worker at once, it would have to hand it
-// back then, and it would stop the worker's runs, as their coordinators are not connected yet and
-// cannot claim them.
-func (e *Executor) handleProbeAnswer(now time.Duration, w *worker, a Answer) {
+// handleTokenlessAnswer handles the answer of a worker that could not be reached before. If the
+// worker obeys another holder, a partition may just have ended: that holder kept the worker and
+// will have reconnected in a moment. Were this executor to take the worker at once, it would have
+// to hand it back then, and it would stop the worker's runs, as their coordinators are not
+// connected yet and cannot claim them.
+func (e *Executor) handleTokenlessAnswer(now time.Duration, w *worker, a Answer) {
 	w.polling = false
 	switch a.Verdict {
 	case OK:
--- a/executor/reserve.go
+++ b/executor/reserve.go
@@ -14,10 +14,10 @@
 const ReasonReserved = "room_reserved"
 
 const (
-	// capacityHoldTime is how long the executor holds capacity after it told the task's coordinator.
-	// In this time the coordinator reclaims the task from the executor where it waits and offers it
-	// here, which takes four messages between daemons. If the coordinator is cut off, the capacity is
-	// free again after this time.
+	// capacityHoldTime is how long the executor holds capacity after it notified the task's
+	// coordinator. In this time the coordinator reclaims the task from the executor where it waits
+	// and offers it here, which takes four messages between daemons. If the coordinator is cut off,
+	// the capacity is free again after this time.
 	capacityHoldTime = 15 * time.Millisecond
 	// maxReservations bounds the reservations in the queue, as each step tries each of them. When a
 	// burst of jobs exceeds it, further reservations are left out, and their tasks wait where they
@@ -35,7 +35,7 @@
 }
 
 // Reserve queues reservations for tasks that wait at other executors. Once there is capacity for a
-// task, the executor holds it for a moment and tells the task's coordinator by a report of NotRun
+// task, the executor holds it for a moment and notifies the task's coordinator by a report of NotRun
 // with ReasonReserved. It starts nothing before the coordinator offers the task.
 func (e *Executor) Reserve(now time.Duration, owner member.Process, tasks []task.Task) {
 	left := maxReservations - e.Reservations()
--- a/executor/slowdetection.go
+++ b/executor/slowdetection.go
@@ -22,7 +22,7 @@
 	// run times in a worker's mean. With all of it subtracted, the means would only follow each other
 	// and no observation.
 	stepWeight = 0.5
-	// stepMemory is how long the run times of a step's tasks are kept.
+	// stepMemory is how long the run times of a step's tasks are remembered.
 	stepMemory = 3 * time.Second
 	// windowShare is the part of its declared time after which a run's progress shows its speed, and
 	// minWindow the least time. Lists state whole percents, and clocks whole milliseconds.
