--- a/executor/durable.go
+++ b/executor/durable.go
@@ -156,9 +156,9 @@
 // ApplyJobStates releases completions of jobs that were never durable. Only a durable job's
 // coordinator can release its completions, as it knows whether the task was started again after the
 // completion. That the job has ended meanwhile shows neither that this completion was known nor to
-// whom. A completion of any other job becomes late when its job
-// is no longer open, or is still open at the second look-up. The state function returns what the
-// store showed of a job at some time after asked.
+// whom. A completion of any other job becomes late when its job is no longer open, or is still open
+// at the second look-up. The state function returns what the store showed of a job at some time
+// after asked.
 func (e *Executor) ApplyJobStates(now, asked time.Duration, state func(job string) JobState) {
 	for _, w := range e.order {
 		for n, c := range w.unacknowledged {
--- a/executor/reserve.go
+++ b/executor/reserve.go
@@ -40,7 +40,7 @@
 func (e *Executor) Reserve(now time.Duration, owner member.Process, tasks []task.Task) {
 	left := maxReservations - e.Reservations()
 	for i := range min(len(tasks), left) {
-		tasks[i].MaxEpoch = 0 // an offer comes before anything is started, and tells them
+		tasks[i].MaxEpoch = 0 // nothing starts before an offer, and the offer states it
 		e.dropReservation(owner, tasks[i].ID)
 		e.enqueue(&queuedTask{task: &tasks[i], owner: owner, enqueuedAt: now, reserved: true})
 	}
--- a/executor/takeover.go
+++ b/executor/takeover.go
@@ -64,7 +64,7 @@
 	}
 	for _, c := range a.Completions {
 		if c.Number <= w.cursor {
-			continue // of a run that this executor started itself
+			continue // the completion of a run that this executor started itself
 		}
 		w.cursor = c.Number
 		t.Completed = append(t.Completed, c.RunningTask)
