--- a/executor/rooms.go
+++ b/executor/capacity.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// WorkerCapacities returns what is left on each worker in use.
+// WorkerCapacities returns the capacity of each worker that is reported to coordinators.
 func (e *Executor) WorkerCapacities(now time.Duration) []WorkerCapacity {
 	return e.AppendWorkerCapacities(make([]WorkerCapacity, 0, len(e.order)), now)
 }
 
-// AppendWorkerCapacities appends what is left on each worker in use, and on those where runs are left.
+// AppendWorkerCapacities appends the capacity of each worker in use, and of each worker that has
+// left use and still has runs of this executor.
 func (e *Executor) AppendWorkerCapacities(rooms []WorkerCapacity, now time.Duration) []WorkerCapacity {
 	for _, w := range e.order {
-		if w.told() {
+		if w.visible() {
 			rooms = append(rooms, WorkerCapacity{
-				Worker: w.info.ID, Service: w.info.Service, Domain: w.info.Domain, Free: w.free(), Total: w.info.Capacity,
-				Open: w.open(now), Usable: w.usable(), Slowdown: w.pace.ratio(), Epoch: w.tenure, Token: w.obeyed,
+				Worker: w.info.ID, Service: w.info.Service, Domain: w.info.Domain, Free: w.freeCapacity(), Total: w.info.Capacity,
+				Open: w.acceptsRuns(now), Usable: w.usable(), Slowdown: w.slowdown.reportedSlowdown(), Epoch: w.epoch, Token: w.epochToken,
 			})
 		}
 	}
 	return rooms
 }
 
-// HeldWorkers returns the workers in use.
+// HeldWorkers returns the IDs of the workers in use.
 func (e *Executor) HeldWorkers() []string {
 	var ids []string
 	for _, w := range e.order {
--- a/executor/worker.go
+++ b/executor/worker.go
@@ -8,78 +8,84 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// phase is the holder's relation to a worker.
+// phase is the holder's relation to the worker.
 type phase uint8
 
 const (
-	// acquiring: a poll under a new token is under way or will be.
+	// acquiring: a poll with a new token is under way or due.
 	acquiring phase = iota
-	// claiming: the worker obeys us; coordinators are asked for the runs it lists.
+	// claiming: the worker obeys this executor, which is asking coordinators for the runs it lists.
 	claiming
-	// held: runs may be started.
+	// held: this executor may start runs on it.
 	held
-	// yielded: another holder took it.
+	// yielded: another holder has taken it.
 	yielded
-	// released: it is no longer ours by assignment.
+	// released: it is no longer assigned to this daemon.
 	released
 )
 
-// runState is what is known of one run.
+// runState is what the executor knows of one run.
 type runState uint8
 
 const (
-	// starting: the order is sent and not answered.
+	// starting: the start was sent and is not answered yet.
 	starting runState = iota
-	// doubtful: the order got no answer.
-	doubtful
-	// running: the worker said so.
+	// unanswered: the start got no answer in time.
+	unanswered
+	// running: the worker has confirmed the run.
 	running
-	// stopping: it is to end, and its coordinator wants no result.
+	// stopping: the run is being stopped, and its coordinator wants no result.
 	stopping
 )
 
-// run is one run on one worker. A run found at a takeover has no task until it is claimed.
+// run is one run on one worker. A run that was listed at a takeover has no task until a coordinator
+// claims it.
 type run struct {
-	task  *task.Task
-	id    task.ID
-	owner member.Process
-	num   uint32
-	state runState
-	// began is when the start was sent.
-	began time.Duration
-	// deadline is that of the start order, on the worker's clock; 0 for a run found.
+	task   *task.Task
+	id     task.ID
+	owner  member.Process
+	number uint32
+	state  runState
+	// startSentAt is when the start was sent.
+	startSentAt time.Duration
+	// deadline is the lease end that the start asked for, in ms on the worker's clock; 0 for a run
+	// listed at a takeover.
 	deadline int64
-	// since is a clock reading of the worker at which the run was surely there; 0: none.
-	since int64
-	// stopped is a clock reading of the worker at which it had surely taken a stop; 0: none.
-	stopped int64
-	// stopSent is when the last stop was sent.
-	stopSent time.Duration
-	// discard: nobody waits for its result; confirm: its coordinator waits for its end all the same.
-	discard, confirm bool
-	// orphanedAt is when a kept run lost its coordinator; 0: it has one.
+	// runningClock is the earliest known reading of the worker's clock at which the run was there;
+	// 0: none.
+	runningClock int64
+	// stoppedClock is a reading of the worker's clock by which it had taken a stop for certain;
+	// 0: none.
+	stoppedClock int64
+	// stopSentAt is when the last stop was sent.
+	stopSentAt time.Duration
+	// discarded: nobody waits for the run's result. confirmEnd: its coordinator waits for its end
+	// all the same.
+	discarded, confirmEnd bool
+	// orphanedAt is when a durable job's run lost its coordinator; 0: it has one.
 	orphanedAt time.Duration
-	// percent is the last listed progress, changed when it last grew.
-	percent int
-	changed time.Duration
-	// marked is the progress at markedAt, on the worker's clock, from which on the next word on
-	// the run's pace counts; seen: there was one.
-	// first are the bounds that it gave first, lastMark when the last one came.
-	marked   int
-	markedAt int64
-	lastMark time.Duration
-	seen     bool
-	first    [2]float64
-	// looked: the worker's lists were asked for because of it.
-	looked bool
-	// probe: it was started to see whether its worker still is slow.
+	// percent is the last listed progress, progressAt when it last changed.
+	percent    int
+	progressAt time.Duration
+	// The next measurement of the run's speed starts from measuredPercent, its progress at
+	// measuredClock on the worker's clock. lastMeasuredAt is when the run was last measured.
+	// measured: it was. firstBounds are the bounds of the first measurement.
+	measuredPercent int
+	measuredClock   int64
+	lastMeasuredAt  time.Duration
+	measured        bool
+	firstBounds     [2]float64
+	// listsRequested: the executor has polled the worker's lists because of this run.
+	listsRequested bool
+	// probe: the run was started to find out whether its worker is still slow.
 	probe bool
 }
 
-// wanted reports whether a coordinator waits for what becomes of the run.
-func (r *run) wanted() bool { return r.task != nil && (!r.discard || r.confirm) }
+// awaited reports whether a coordinator waits to learn what became of the run.
+func (r *run) awaited() bool { return r.task != nil && (!r.discarded || r.confirmEnd) }
 
-// coordinator names the run's coordinator for logs; empty while nobody has claimed it.
+// coordinator formats the run's coordinator for logs. It is empty until a coordinator has claimed
+// the run.
 func (r *run) coordinator() string {
 	if !r.owner.Address.IsValid() {
 		return ""
@@ -87,121 +93,128 @@
 	return " coordinator=" + r.owner.Address.String()
 }
 
-// clock is a reading of a worker's clock.
-type clock struct {
+// clockReading is a reading of a worker's clock, with the time of the reading on the executor's
+// clock.
+type clockReading struct {
 	ms int64
 	at time.Duration
 }
 
-// worker is a worker that this executor holds or wants to.
+// worker is a worker that this executor holds or wants to hold.
 type worker struct {
 	info  WorkerInfo
 	phase phase
-	// retired: the worker's failure domain is to get no new runs.
+	// retired: workers of this failure domain get no new runs.
 	retired bool
-	// departing: the worker is being left to daemons that can't claim what runs there.
+	// departing: the worker is being handed to daemons that cannot claim what runs on it.
 	departing bool
-	// wanted: the worker is assigned to this daemon.
-	wanted bool
-	token  uint64
-	// tenure numbers the time since the worker was last taken among this executor's tenures of all
-	// its workers; 0: it never was. obeyed is the token that it was taken by: unlike token, that of
-	// the latest try.
-	tenure, obeyed uint64
-	// incarnation is the one of the worker that is dealt with, known since incarnationSince; 0: not told.
+	// assigned: the worker is assigned to this daemon.
+	assigned bool
+	token    uint64
+	// epoch numbers the current holding epoch of the worker among this executor's epochs of all its
+	// workers; 0: it never held the worker. epochToken is the token by which it took the worker in
+	// this epoch. Unlike token, it does not change with attempts that have not succeeded.
+	epoch, epochToken uint64
+	// incarnation is the worker's current incarnation as this executor knows it since
+	// incarnationSince; 0: not known.
 	incarnation      int64
 	incarnationSince time.Duration
-	// reborn: it has not been taken over since it came back under its ID.
-	reborn bool
-	clock  clock
-	// granted is the latest lease end that any order of this holder may have set.
-	granted int64
-	cursor  uint64
-	// confirmed is the number of the last end whose acknowledgement was answered.
-	confirmed uint64
-	// unsettled holds ends that may not be acknowledged yet, by number.
-	unsettled map[uint64]heldEnd
-	runs      map[task.ID]*run
-	used      capacity.Vector
-	// takenAt is when the last order to take it was sent; 0: never.
-	takenAt time.Duration
-	// unreached: the last attempt to take it got no answer.
-	unreached bool
-	// polling and looking: a standing poll or an extra one is under way.
-	polling, looking bool
-	// nextPoll is when an unheld worker is polled again, nextLook when a doubt is looked into.
-	nextPoll, nextLook time.Duration
-	// listedAt is when the worker's lists were last read.
+	// restarted: this executor has not taken the worker since the worker restarted under its ID.
+	restarted bool
+	clock     clockReading
+	// grantedUntil is the latest lease end that any order of this holder may have set, in ms on the
+	// worker's clock.
+	grantedUntil int64
+	// cursor is the number of the last completion that was read.
+	cursor uint64
+	// acknowledgeAnswered is the number of the last completion whose acknowledgement the worker
+	// has answered.
+	acknowledgeAnswered uint64
+	// unacknowledged holds completions that must not be acknowledged yet, by number.
+	unacknowledged map[uint64]unacknowledgedCompletion
+	runs           map[task.ID]*run
+	used           capacity.Vector
+	// acquireSentAt is when the last order to take the worker was sent; 0: never.
+	acquireSentAt time.Duration
+	// unreachable: the last attempt to take the worker got no answer.
+	unreachable bool
+	// polling: the standing poll is under way. extraPolling: an extra poll is.
+	polling, extraPolling bool
+	// nextPollAt is when the next poll is due. nextExtraPollAt is when the next extra poll for an
+	// order of unknown effect is due.
+	nextPollAt, nextExtraPollAt time.Duration
+	// listedAt is when the executor last read the worker's lists.
 	listedAt time.Duration
-	// silent counts polls in a row without an answer.
-	silent int
-	// missedAt is when a poll last got no answer.
-	missedAt time.Duration
-	// suspect: a start got no answer and no list has been read since.
+	// missedPolls counts the polls in a row that got no answer.
+	missedPolls int
+	// lastMissedAt is when a poll last got no answer.
+	lastMissedAt time.Duration
+	// suspect: a start got no answer, and no list has been read since.
 	suspect bool
-	// pausedUntil closes the worker for new runs; pause is the length of the last pause.
+	// Until pausedUntil the worker gets no new runs. pause is the length of the last pause.
 	pausedUntil, pause time.Duration
-	// failures counts failed runs in a row.
-	failures int
-	// pace is how fast it is. A slow worker gets a probe from probeAt on, the next one probePause
-	// after that.
-	pace                pace
-	probeAt, probePause time.Duration
-	// probing: after it was closed for its runs, the worker gets one task at a time until
-	// one has ended well.
-	probing bool
-	// claimBy is when unclaimed runs are stopped; waiting holds who has not answered yet.
-	claimBy time.Duration
-	waiting map[member.Process]bool
+	// consecutiveFailures counts failed runs in a row.
+	consecutiveFailures int
+	// slowdown is the worker's run time compared with the declared one. A slow worker gets a probe
+	// from probeAt on, and the next probe probeInterval after that.
+	slowdown               slowdown
+	probeAt, probeInterval time.Duration
+	// onProbation: the worker was closed because of its runs. It gets one task at a time until a run
+	// succeeds.
+	onProbation bool
+	// At claimDeadline the executor stops unclaimed runs. awaitedClaims holds the coordinators that
+	// have not answered the takeover yet.
+	claimDeadline time.Duration
+	awaitedClaims map[member.Process]bool
 }
 
-// now estimates the worker's clock in ms; ok is false when it was never read.
-func (w *worker) now(t time.Duration) (ms int64, ok bool) {
+// clockAt estimates the worker's clock in ms at a time; ok is false if the clock was never read.
+func (w *worker) clockAt(t time.Duration) (ms int64, ok bool) {
 	if w.clock.ms == 0 {
 		return 0, false
 	}
 	return w.clock.ms + (t - w.clock.at).Milliseconds(), true
 }
 
-// read takes a reading of the worker's clock. Answers on different connections overtake
-// each other, so an older reading is not taken.
-func (w *worker) read(ms int64, at time.Duration) {
+// readClock takes a reading of the worker's clock. Answers on different connections overtake each
+// other, so it ignores an older reading.
+func (w *worker) readClock(ms int64, at time.Duration) {
 	if ms > w.clock.ms {
-		w.clock = clock{ms, at}
+		w.clock = clockReading{ms, at}
 	}
 }
 
-// lapsedBy returns when every lease that this holder granted has surely ended: the
-// worker's clock may run slow by clockDrift.
-func (w *worker) lapsedBy() time.Duration {
-	left := max(w.granted-w.clock.ms, 0)
-	return w.clock.at + time.Duration(float64(left)/(1-clockDrift))*time.Millisecond + lapseMargin
+// leasesExpiredBy returns the time by which every lease that this holder granted has expired for
+// certain: the worker's clock may run slow by clockDrift.
+func (w *worker) leasesExpiredBy() time.Duration {
+	left := max(w.grantedUntil-w.clock.ms, 0)
+	return w.clock.at + time.Duration(float64(left)/(1-clockDrift))*time.Millisecond + leaseMargin
 }
 
-// free returns the room left.
-func (w *worker) free() capacity.Vector { return w.info.Capacity.Minus(w.used) }
+// freeCapacity returns the capacity left; it is negative after the worker shrank below its use.
+func (w *worker) freeCapacity() capacity.Vector { return w.info.Capacity.Minus(w.used) }
 
-// idle reports whether nothing runs there, and no room is held.
+// idle reports whether nothing runs on the worker and no capacity is held there.
 func (w *worker) idle() bool { return len(w.runs) == 0 && w.used == capacity.Vector{} }
 
-// open reports whether new runs may start.
-func (w *worker) open(now time.Duration) bool {
-	_, known := w.now(now)
-	return w.phase == held && known && !w.leaving() && w.silent < closingSilence && !w.suspect && now >= w.pausedUntil &&
-		(!w.probing || len(w.runs) == 0) && !w.lapsing()
+// acceptsRuns reports whether new runs may start on the worker now.
+func (w *worker) acceptsRuns(now time.Duration) bool {
+	_, known := w.clockAt(now)
+	return w.phase == held && known && !w.excluded() && w.missedPolls < closeAfterMissed && !w.suspect && now >= w.pausedUntil &&
+		(!w.onProbation || len(w.runs) == 0) && !w.awaitsLeaseExpiry()
 }
 
-// leaving reports whether the worker is to get no new runs until it, or its failure domain,
-// is taken back.
-func (w *worker) leaving() bool { return w.info.Draining || w.retired || w.departing }
+// excluded reports whether the worker gets no new runs because it, or its failure domain, is being
+// taken out of use.
+func (w *worker) excluded() bool { return w.info.Draining || w.retired || w.departing }
 
-// usable reports whether the worker is expected to take new runs soon, if not now.
+// usable reports whether the worker is expected to accept new runs soon, if not now.
 func (w *worker) usable() bool {
-	return (w.phase == held || w.phase == claiming) && !w.leaving() && w.silent < lapsingSilence && !w.probing
+	return (w.phase == held || w.phase == claiming) && !w.excluded() && w.missedPolls < stopExtendingAfterMissed && !w.onProbation
 }
 
-// serves reports whether the worker may run the task at all.
-func (w *worker) serves(t *task.Task) bool {
+// canRun reports whether the worker can run the task at all: service, label and total capacity fit.
+func (w *worker) canRun(t *task.Task) bool {
 	return w.info.Service == t.Service && w.hasLabel(t.Label) && t.Demand.Fits(w.info.Capacity)
 }
 
@@ -217,8 +230,8 @@
 	return false
 }
 
-// unclaimed reports whether it runs something whose demand is unknown.
-func (w *worker) unclaimed() bool {
+// hasUnclaimedRuns reports whether the worker runs something of unknown demand.
+func (w *worker) hasUnclaimedRuns() bool {
 	for _, r := range w.runs {
 		if r.task == nil {
 			return true
@@ -227,23 +240,24 @@
 	return false
 }
 
-func (w *worker) doubts() bool {
+// hasUnresolvedOrders reports whether the effect of a start or a stop is still unknown.
+func (w *worker) hasUnresolvedOrders() bool {
 	for _, r := range w.runs {
-		if r.state == doubtful || r.state == stopping {
+		if r.state == unanswered || r.state == stopping {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *worker) add(r *run) {
+func (w *worker) addRun(r *run) {
 	w.runs[r.id] = r
 	if r.task != nil {
 		w.used = w.used.Plus(r.task.Demand)
 	}
 }
 
-func (w *worker) remove(r *run) {
+func (w *worker) removeRun(r *run) {
 	if w.runs[r.id] != r {
 		return
 	}
@@ -253,8 +267,9 @@
 	}
 }
 
-// closeFor pauses a worker, twice as long each further time.
-func (w *worker) closeFor(now, first time.Duration) {
+// pauseFor closes the worker for new runs. Each further pause is twice as long as the last, up to
+// maxPause.
+func (w *worker) pauseFor(now, first time.Duration) {
 	w.pause = min(max(2*w.pause, first), maxPause)
 	w.pausedUntil = max(w.pausedUntil, now+w.pause)
 }
