--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -14,17 +14,17 @@
 const (
 	// lostWait is how long a task whose executor is gone may stay unresolved: by then a
 	// successor has taken its workers over, or none will in time for the caller.
-	lostWait = 600 * time.Millisecond
+	lostTaskTimeout = 600 * time.Millisecond
 	// successionMemory is how long a takeover without a token counts as news of a loss that this
 	// daemon notices later: daemons notice the same silence within a heartbeat or two of each other.
-	successionMemory = 2 * time.Second
+	takeoverRetention = 2 * time.Second
 	// maxOffers bounds the tries to place one task.
 	maxOffers = 12
 	// maxRoomOffers is how often a task is offered to executors that told of room for it, one
 	// after the other, before it waits at one of them. Each costs a round trip.
-	maxRoomOffers = 4
+	maxImmediateOffers = 4
 	// maxPark bounds the wait of a job for any worker at all; a quarter of its time does too.
-	maxPark = 700 * time.Millisecond
+	maxParkTime = 700 * time.Millisecond
 	// minCrashes is how many workers have to go down with a task at least before its job is
 	// given up: one or two may by chance.
 	minCrashes = 3
@@ -71,35 +71,35 @@
 
 // Coordinator brings jobs to their answers. It is not safe for concurrent use.
 type Coordinator struct {
-	self  member.Process
-	jobs  map[string]*job
-	rooms rooms
+	self      member.Process
+	jobs      map[string]*job
+	executors executors
 	// plan is a copy of the rooms that each job without room is tried out in.
-	plan rooms
-	out  Output
+	trial executors
+	out   Output
 	// takenOver holds, for a lost executor, its workers that no successor has taken over yet,
 	// with the tokens of its tenures.
-	takenOver map[member.Process]map[string]uint64
+	awaitingTakeover map[member.Process]map[string]uint64
 	// successors holds the latest takeover of each worker.
-	successors map[string]succession
+	latestTakeovers map[string]takeover
 	// histories holds what is to be settled of kept jobs, until their ends are stored.
-	histories map[string]*history
+	durableStates map[string]*durableState
 	// held: tasks of kept jobs are not offered, as this daemon may have lost its title to them.
-	held bool
+	durablePaused bool
 	// pressures is what was done about the load, by service and band.
-	pressures map[band]*pressure
-	shares    shares
+	retrySchedules map[band]*retrySchedule
+	shares         shares
 	// expected is how many workers there are while executors have not told of most; else 0.
-	expected int
+	expectedWorkers int
 	// undecided are takeovers that wait for news of a task.
-	undecided []undecided
+	pendingTakeovers []pendingTakeover
 	// endings are jobs that are over here, by identifier.
-	endings map[string]ending
+	stopping map[string]stoppingJob
 }
 
 // New returns a coordinator of the given process.
 func New(self member.Process) *Coordinator {
-	return &Coordinator{self: self, jobs: make(map[string]*job), takenOver: make(map[member.Process]map[string]uint64), successors: make(map[string]succession), histories: make(map[string]*history), pressures: make(map[band]*pressure), endings: make(map[string]ending)}
+	return &Coordinator{self: self, jobs: make(map[string]*job), awaitingTakeover: make(map[member.Process]map[string]uint64), latestTakeovers: make(map[string]takeover), durableStates: make(map[string]*durableState), retrySchedules: make(map[band]*retrySchedule), stopping: make(map[string]stoppingJob)}
 }
 
 // Drain returns what the embedder has to carry out since the last call.
@@ -110,7 +110,7 @@
 }
 
 // UpdateExecutor takes what an executor tells of its workers.
-func (c *Coordinator) UpdateExecutor(h ExecutorState) { c.rooms.set(h) }
+func (c *Coordinator) UpdateExecutor(h ExecutorState) { c.executors.update(h) }
 
 // JobCount returns the number of jobs without an answer.
 func (c *Coordinator) JobCount() int { return len(c.jobs) }
@@ -123,11 +123,11 @@
 	n := newJob(now, j)
 	c.jobs[j.ID] = n
 	if j.Durable {
-		c.keep(now, n)
+		c.submitDurable(now, n)
 		return
 	}
-	c.judgeShare(now, n)
-	n.parkedTo = now + min(maxPark, (j.Deadline-now)/4)
+	c.checkShare(now, n)
+	n.parkedUntil = now + min(maxParkTime, (j.Deadline-now)/4)
 	c.admit(now, n)
 }
 
@@ -135,12 +135,12 @@
 // it is parked for a moment: after a restart of the fleet workers are taken over within
 // some hundred ms, and a refused caller doesn't come back.
 func (c *Coordinator) admit(now time.Duration, j *job) {
-	v := c.judge(now, j)
-	j.parked = now < j.parkedTo && (v.reason == ReasonNoWorkers || v.reason == ReasonNoCapacity && c.assembling(now))
+	v := c.checkCapacity(now, j)
+	j.parked = now < j.parkedUntil && (v.reason == ReasonNoWorkers || v.reason == ReasonNoCapacity && c.awaitingWorkers(now))
 	switch {
 	case j.parked:
 	case v.reason != "":
-		c.answer(now, j, Refused, c.refusedFor(j, v.reason), c.retryAfter(now, j, v))
+		c.answer(now, j, Refused, c.refusalReason(j, v.reason), c.retryAfter(now, j, v))
 	default:
 		c.release(now, j)
 	}
@@ -161,14 +161,14 @@
 // offer places one task.
 func (c *Coordinator) offer(now time.Duration, j *job, t *jobTask) {
 	if j.Durable {
-		if c.held {
+		if c.durablePaused {
 			c.postpone(now, t)
 			return
 		}
-		t.StartBy = now + keptOfferTime
+		t.StartBy = now + durableOfferTimeout
 	}
-	t.OverShare = j.surplus && !j.mayHaveRun // what has begun is finished, or the work is lost
-	h, hasRoom := c.target(now, t)
+	t.OverShare = j.overShare && !j.mayHaveRun // what has begun is finished, or the work is lost
+	h, hasCapacity := c.chooseExecutor(now, t)
 	switch {
 	case h == nil && j.Durable:
 		c.postpone(now, t)
@@ -180,54 +180,54 @@
 		c.giveUp(now, j, ReasonNoCapacity)
 		return
 	}
-	t.waiting, t.reclaiming = !hasRoom, false
-	t.begun, t.unbegun = t.latest(), false
+	t.waiting, t.reclaiming = !hasCapacity, false
+	t.previousStarted, t.notStarted = t.latestStarted(), false
 	t.Run++
 	t.offers++
-	t.NoWait = hasRoom && t.offers <= maxRoomOffers && !j.Durable
-	t.adopted = false
-	t.MaxEpoch = h.tenures
+	t.NoWait = hasCapacity && t.offers <= maxImmediateOffers && !j.Durable
+	t.unknownRuns = false
+	t.MaxEpoch = h.maxEpoch
 	t.state, t.holder, t.worker, t.token = offered, h.Process, "", 0
-	c.sendOffer(now, t, h, hasRoom)
-	if !hasRoom {
+	c.sendOffer(now, t, h, hasCapacity)
+	if !hasCapacity {
 		c.reserve(now, t)
 	}
 }
 
-func (c *Coordinator) sendOffer(now time.Duration, t *jobTask, h *ExecutorState, hasRoom bool) {
+func (c *Coordinator) sendOffer(now time.Duration, t *jobTask, h *ExecutorState, hasCapacity bool) {
 	c.out.Events = append(c.out.Events, executor.Event{
-		Name: "task_offered", ID: t.ID, Run: t.Run, Detail: fmt.Sprintf("to=%s room=%t", h.Process.Address, hasRoom), Age: now - h.ReportedAt,
+		Name: "task_offered", ID: t.ID, Run: t.Run, Detail: fmt.Sprintf("to=%s room=%t", h.Process.Address, hasCapacity), Age: now - h.ReportedAt,
 	})
-	m := c.message(h.Process, func(m *Message) bool { return m.Offer != nil })
+	m := c.messageTo(h.Process, func(m *Message) bool { return m.Offer != nil })
 	m.Offer = append(m.Offer, t.Task)
 }
 
 // HandleReport takes an executor's report.
 func (c *Coordinator) HandleReport(now time.Duration, from member.Process, r task.Report) {
-	if len(c.undecided) > 0 {
-		defer c.decide(now)
+	if len(c.pendingTakeovers) > 0 {
+		defer c.answerPending(now)
 	}
 	if r.Reason == executor.ReasonReserved {
-		c.roomFound(from, r)
+		c.handleReservedCapacity(from, r)
 		return
 	}
-	c.endingReported(now, from, r)
+	c.handleStopReport(now, from, r)
 	j := c.jobs[r.ID.Job]
 	if j == nil {
 		return
 	}
 	t := j.find(r.ID)
 	if t == nil || t.state != offered || t.holder != from || r.Run < t.Run {
-		c.reportedLate(now, from, j, t, r)
+		c.handleLateReport(now, from, j, t, r)
 		return
 	}
 	t.Run = r.Run // an executor may raise the number where a worker has seen it
-	c.note(j, from, r)
+	c.recordCompletion(j, from, r)
 	switch r.Outcome {
 	case task.Started:
-		c.begun(j)
+		c.markStarted(j)
 		j.mayHaveRun, t.worker, t.token = true, r.Worker, r.Token
-		c.beganToRun(t)
+		c.taskStarted(t)
 	case task.Done:
 		c.taskDone(now, j, t)
 	case task.Failed:
@@ -235,22 +235,22 @@
 	case task.Terminated:
 		c.restart(now, j, t, r)
 	case task.NotRun:
-		c.notRun(now, j, t, r)
+		c.taskNotRun(now, j, t, r)
 	case task.Moved:
 		j.mayHaveRun = true
 		if r.Token > 0 || r.Worker != t.worker { // who doesn't hold it can't tell
 			t.worker, t.token = r.Worker, r.Token
 		}
-		c.lose(now, t)
-		c.claimLate(now, from, t)
+		c.markLost(now, t)
+		c.claimFromSuccessor(now, from, t)
 	}
 }
 
 func (c *Coordinator) taskDone(now time.Duration, j *job, t *jobTask) {
 	j.mayHaveRun = true
 	t.state = done
-	j.left[t.ID.Step]--
-	for _, n := range j.left {
+	j.remaining[t.ID.Step]--
+	for _, n := range j.remaining {
 		if n > 0 {
 			c.release(now, j)
 			return
@@ -276,7 +276,7 @@
 		c.giveUp(now, j, ReasonTooLate)
 		return
 	}
-	if c.crashed(now, j, t, r) {
+	if c.countCrash(now, j, t, r) {
 		return
 	}
 	if r.Outcome == task.Terminated && r.Worker != "" {
@@ -288,7 +288,7 @@
 // crashed counts a run that went down with its worker, and gives the job up with the last that
 // the queue allows: a task that brings down whatever runs it would take one worker after the
 // other. A kept job is tried on, as such ends don't count as its failures.
-func (c *Coordinator) crashed(now time.Duration, j *job, t *jobTask, r task.Report) bool {
+func (c *Coordinator) countCrash(now time.Duration, j *job, t *jobTask, r task.Report) bool {
 	switch r.Reason {
 	case executor.ReasonWorkerDied, executor.ReasonWorkerRestarted, executor.ReasonWorkerRemoved:
 		t.crashes++
@@ -300,21 +300,21 @@
 	return true
 }
 
-func (c *Coordinator) notRun(now time.Duration, j *job, t *jobTask, r task.Report) {
-	t.state, t.unbegun = blocked, true
+func (c *Coordinator) taskNotRun(now time.Duration, j *job, t *jobTask, r task.Report) {
+	t.state, t.notStarted = blocked, true
 	if !j.Durable && (r.Reason == executor.ReasonNoCapacity || now >= t.StartBy) {
 		c.giveUp(now, j, ReasonNoCapacity)
 		return
 	}
-	if h := c.rooms.get(t.holder); h != nil {
+	if h := c.executors.get(t.holder); h != nil {
 		switch r.Reason {
 		case executor.ReasonNoWorker:
-			h.close()
+			h.markUnavailable()
 		case executor.ReasonCapacityTaken:
-			h.full(&t.Task)
+			h.markFull(&t.Task)
 		case executor.ReasonLaterEpoch:
-			if h.tenures <= t.MaxEpoch {
-				h.close() // it would give it back again, until its next word
+			if h.maxEpoch <= t.MaxEpoch {
+				h.markUnavailable() // it would give it back again, until its next word
 			}
 		}
 	}
@@ -331,11 +331,11 @@
 }
 
 // lose marks a task whose run nobody known looks after.
-func (c *Coordinator) lose(now time.Duration, t *jobTask) {
+func (c *Coordinator) markLost(now time.Duration, t *jobTask) {
 	t.state = lost
-	t.lostBy = now + lostWait
+	t.lostDeadline = now + lostTaskTimeout
 	if t.Durable {
-		t.lostBy = now + orphanWait
+		t.lostDeadline = now + orphanTimeout
 	}
 }
 
@@ -348,13 +348,13 @@
 
 // Tick lets time pass: deadlines and lost tasks.
 func (c *Coordinator) Tick(now time.Duration) {
-	for _, j := range c.sorted() {
+	for _, j := range c.sortedJobs() {
 		if j.parked {
 			c.admit(now, j)
 			continue
 		}
 		if j.Durable {
-			c.tickKept(now, j)
+			c.tickDurable(now, j)
 			continue
 		}
 		if now >= j.Deadline {
@@ -362,22 +362,22 @@
 			continue
 		}
 		for _, t := range j.tasks {
-			if !j.ended && t.state == lost && now >= t.lostBy {
+			if !j.ended && t.state == lost && now >= t.lostDeadline {
 				c.giveUp(now, j, ReasonExecutorLost)
 			}
 		}
 	}
-	c.tickEndings(now)
-	c.decide(now)
+	c.tickStopping(now)
+	c.answerPending(now)
 	c.rebalance(now)
 }
 
 // sorted returns the jobs in a repeatable order.
-func (c *Coordinator) sorted() []*job {
+func (c *Coordinator) sortedJobs() []*job {
 	list := make([]*job, 0, len(c.jobs))
 	for _, j := range c.jobs {
 		list = append(list, j)
 	}
-	slices.SortFunc(list, func(a, b *job) int { return cmp.Or(cmp.Compare(a.began, b.began), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(list, func(a, b *job) int { return cmp.Or(cmp.Compare(a.submittedAt, b.submittedAt), cmp.Compare(a.ID, b.ID)) })
 	return list
 }
--- a/coordinator/ending.go
+++ b/coordinator/ending.go
@@ -12,20 +12,20 @@
 // a run that it was to stop is surely over: it notices the loss of its coordinator up to 0.3 s
 // later and stops the run, or its lease of 0.8 s lapses; another holder stops what nobody claims
 // within 0.3 s.
-const endingWait = 1500 * time.Millisecond
+const maxStopTime = 1500 * time.Millisecond
 
 // untilCleared is the end of a wait for an executor's word.
-const untilCleared = time.Duration(math.MaxInt64)
+const untilQuiescent = time.Duration(math.MaxInt64)
 
 // ending is a job that is over here, while executors have not told that its runs are.
-type ending map[task.ID]endingTask
+type stoppingJob map[task.ID]stoppingTask
 
 // endingTask is a task that was taken back from its executor.
-type endingTask struct {
+type stoppingTask struct {
 	holder member.Process
 	run    uint32
 	// overBy is when it is surely over, where the executor can't tell; 0 while it can.
-	overBy time.Duration
+	stoppedBy time.Duration
 }
 
 // Cancel ends a job whose caller has gone or doesn't want it any more: what runs is stopped.
@@ -38,28 +38,28 @@
 
 // IsStopping reports whether something may still run of a job that is over here. Its end is told by
 // Output.Stopped.
-func (c *Coordinator) IsStopping(id string) bool { return c.endings[id] != nil }
+func (c *Coordinator) IsStopping(id string) bool { return c.stopping[id] != nil }
 
 // endingReported takes an executor's word on a task that was taken back from it.
-func (c *Coordinator) endingReported(now time.Duration, from member.Process, r task.Report) {
-	e := c.endings[r.ID.Job]
+func (c *Coordinator) handleStopReport(now time.Duration, from member.Process, r task.Report) {
+	e := c.stopping[r.ID.Job]
 	t, ok := e[r.ID]
-	if !ok || t.holder != from || t.overBy > 0 || r.Run > 0 && r.Run < t.run {
+	if !ok || t.holder != from || t.stoppedBy > 0 || r.Run > 0 && r.Run < t.run {
 		return
 	}
 	switch r.Outcome {
 	case task.Started:
 	case task.Moved:
-		e[r.ID] = endingTask{from, t.run, now + endingWait}
+		e[r.ID] = stoppingTask{from, t.run, now + maxStopTime}
 	default:
 		delete(e, r.ID)
-		c.endIfOver(r.ID.Job)
+		c.removeIfStopped(r.ID.Job)
 	}
 }
 
-func (c *Coordinator) endIfOver(job string) {
-	if len(c.endings[job]) == 0 {
-		delete(c.endings, job)
+func (c *Coordinator) removeIfStopped(job string) {
+	if len(c.stopping[job]) == 0 {
+		delete(c.stopping, job)
 		c.out.Stopped = append(c.out.Stopped, job)
 	}
 }
@@ -68,10 +68,10 @@
 // job that is over here. Until HandleQuiescence its word is waited for, and not the time.
 func (c *Coordinator) AwaitQuiescence(p member.Process) bool {
 	found := false
-	for _, e := range c.endings {
+	for _, e := range c.stopping {
 		for id, t := range e {
-			if t.holder == p && t.overBy > 0 {
-				e[id] = endingTask{p, t.run, untilCleared}
+			if t.holder == p && t.stoppedBy > 0 {
+				e[id] = stoppingTask{p, t.run, untilQuiescent}
 				found = true
 			}
 		}
@@ -82,47 +82,47 @@
 // HandleQuiescence takes the word of an executor that was lost, and is back, that nothing of what it ran
 // for this coordinator before runs any more.
 func (c *Coordinator) HandleQuiescence(p member.Process) {
-	for job, e := range c.endings {
+	for job, e := range c.stopping {
 		for id, t := range e {
-			if t.holder == p && t.overBy > 0 {
+			if t.holder == p && t.stoppedBy > 0 {
 				delete(e, id)
 			}
 		}
-		c.endIfOver(job)
+		c.removeIfStopped(job)
 	}
 }
 
 // endingsLost notes that an executor can't tell of its runs any more.
-func (c *Coordinator) endingsLost(now time.Duration, p member.Process) {
-	for _, e := range c.endings {
+func (c *Coordinator) startStopTimeout(now time.Duration, p member.Process) {
+	for _, e := range c.stopping {
 		for id, t := range e {
-			if t.holder == p && (t.overBy == 0 || t.overBy == untilCleared) {
-				e[id] = endingTask{p, t.run, now + endingWait}
+			if t.holder == p && (t.stoppedBy == 0 || t.stoppedBy == untilQuiescent) {
+				e[id] = stoppingTask{p, t.run, now + maxStopTime}
 			}
 		}
 	}
 }
 
 // tickEndings ends what is surely over by now.
-func (c *Coordinator) tickEndings(now time.Duration) {
-	for job, e := range c.endings {
+func (c *Coordinator) tickStopping(now time.Duration) {
+	for job, e := range c.stopping {
 		for id, t := range e {
-			if t.overBy > 0 && now >= t.overBy {
+			if t.stoppedBy > 0 && now >= t.stoppedBy {
 				delete(e, id)
 			}
 		}
-		c.endIfOver(job)
+		c.removeIfStopped(job)
 	}
 }
 
 // giveUp ends a job that can't be answered well: as refused where it is certain that no
 // task has run or will.
-func (c *Coordinator) giveUp(now time.Duration, j *job, why Reason) {
+func (c *Coordinator) giveUp(now time.Duration, j *job, reason Reason) {
 	status := GivenUp
 	if !j.mayHaveRun && !j.outstanding() {
 		status = Refused
 	}
-	c.answer(now, j, status, why, minRetryAfter)
+	c.answer(now, j, status, reason, minRetryAfter)
 }
 
 // outstanding reports whether an executor may still start a task.
@@ -135,16 +135,16 @@
 	return false
 }
 
-func (c *Coordinator) answer(now time.Duration, j *job, s Status, why Reason, after time.Duration) {
+func (c *Coordinator) answer(now time.Duration, j *job, s Status, reason Reason, retryAfter time.Duration) {
 	if j.ended {
 		return
 	}
 	if j.Durable {
-		c.relinquish(j)
+		c.withdrawRetaining(j)
 	} else {
 		c.withdraw(now, j)
 	}
-	c.out.Answers = append(c.out.Answers, Answer{Job: j.ID, Status: s, Reason: why, RetryAfter: after, Waited: now - j.began})
+	c.out.Answers = append(c.out.Answers, Answer{Job: j.ID, Status: s, Reason: reason, RetryAfter: retryAfter, Waited: now - j.submittedAt})
 	c.drop(j)
 }
 
@@ -164,7 +164,7 @@
 		if t.state != offered && t.state != lost {
 			continue
 		}
-		c.noteEnding(now, j, t)
+		c.trackStop(now, j, t)
 		at, ok := byHolder[t.holder]
 		if !ok {
 			at = len(c.out.Messages)
@@ -177,16 +177,16 @@
 
 // noteEnding waits for the end of a task that is taken back. Where its executor is lost, or has
 // lost its worker, its word says nothing.
-func (c *Coordinator) noteEnding(now time.Duration, j *job, t *jobTask) {
+func (c *Coordinator) trackStop(now time.Duration, j *job, t *jobTask) {
 	if j.Durable {
 		return
 	}
-	if c.endings[j.ID] == nil {
-		c.endings[j.ID] = make(ending)
+	if c.stopping[j.ID] == nil {
+		c.stopping[j.ID] = make(stoppingJob)
 	}
-	e := endingTask{holder: t.holder, run: t.Run}
+	e := stoppingTask{holder: t.holder, run: t.Run}
 	if t.state == lost {
-		e.overBy = max(now, t.lostBy-lostWait+endingWait)
+		e.stoppedBy = max(now, t.lostDeadline-lostTaskTimeout+maxStopTime)
 	}
-	c.endings[j.ID][t.ID] = e
+	c.stopping[j.ID][t.ID] = e
 }
--- a/coordinator/job.go
+++ b/coordinator/job.go
@@ -133,27 +133,27 @@
 	failures, offers int
 	// begun is the number of the latest run before Run that may have begun; unbegun: Run surely
 	// has not.
-	begun   uint32
-	unbegun bool
+	previousStarted uint32
+	notStarted      bool
 	// crashes counts runs that ended as their worker went down.
 	crashes    int
 	failedRuns []uint32
 	// adopted: an earlier coordinator may have started runs that this one doesn't know of.
-	adopted bool
+	unknownRuns bool
 	// reserved are executors that are to tell of room for it; movesTo has told, and is offered it
 	// once the one where it waits has given it back.
-	reserved []member.Process
-	movesTo  member.Process
+	reservedAt []member.Process
+	moveTo     member.Process
 	// lostBy is when a lost task is given up, or a kept one surely over.
-	lostBy time.Duration
+	lostDeadline time.Duration
 	// offerAt is when a deferred task is offered again.
 	offerAt time.Duration
 }
 
 // latest is the number of the latest run that may have begun.
-func (t *jobTask) latest() uint32 {
-	if t.unbegun {
-		return t.begun
+func (t *jobTask) latestStarted() uint32 {
+	if t.notStarted {
+		return t.previousStarted
 	}
 	return t.Run
 }
@@ -161,29 +161,29 @@
 // job is a job that has no answer yet.
 type job struct {
 	Job
-	began time.Duration
-	due   time.Duration
-	tasks []*jobTask
+	submittedAt time.Duration
+	due         time.Duration
+	tasks       []*jobTask
 	// left counts the tasks of each step that are not done.
-	left []int
+	remaining []int
 	// mayHaveRun is set once a worker may have started a task.
 	mayHaveRun bool
 	ended      bool
 	// surplus: it is beyond the share of its queue and callers.
-	surplus bool
+	overShare bool
 	// parked jobs wait for a worker until parkedTo.
-	parked   bool
-	parkedTo time.Duration
+	parked      bool
+	parkedUntil time.Duration
 	// recallAt is when executors are asked again for the lost tasks of a kept job.
-	recallAt time.Duration
+	reconcileAt time.Duration
 }
 
 // newJob lays out the tasks.
 func newJob(now time.Duration, j Job) *job {
-	n := &job{Job: j, began: now, left: make([]int, len(j.Steps))}
+	n := &job{Job: j, submittedAt: now, remaining: make([]int, len(j.Steps))}
 	n.due = now + time.Duration(j.Stretch*float64(longestChain(j.Steps))) + j.Target
 	for s, step := range j.Steps {
-		n.left[s] = step.Count
+		n.remaining[s] = step.Count
 		for i := range step.Count {
 			n.tasks = append(n.tasks, &jobTask{Task: task.Task{
 				ID: task.ID{Job: j.ID, Step: uint32(s), Index: uint32(i)}, Service: j.Service, Queue: j.Queue, Label: step.Label,
@@ -213,7 +213,7 @@
 // ready reports whether the steps before s are done.
 func (j *job) ready(s uint32) bool {
 	for _, a := range j.Steps[s].After {
-		if j.left[a] > 0 {
+		if j.remaining[a] > 0 {
 			return false
 		}
 	}
@@ -230,7 +230,7 @@
 }
 
 // firstTasks returns the tasks whose turn has come.
-func (j *job) firstTasks() (list []*task.Task) {
+func (j *job) readyTasks() (list []*task.Task) {
 	for _, t := range j.tasks {
 		if j.ready(t.ID.Step) {
 			list = append(list, &t.Task)
--- a/coordinator/kept.go
+++ b/coordinator/kept.go
@@ -15,22 +15,22 @@
 	// it is claimed, and its lease ends within another second. An earlier owner that is
 	// only cut off finds out within titleAge of the node that its title is gone, and the
 	// lease of what it ran ends after that.
-	orphanWait = 3200 * time.Millisecond
+	orphanTimeout = 3200 * time.Millisecond
 	// recallEvery is the time between questions to executors about lost tasks.
-	recallEvery = 500 * time.Millisecond
+	reconcileInterval = 500 * time.Millisecond
 	// releaseWait is the time for two questions to executors and their answers.
-	releaseWait = 2*recallEvery + 100*time.Millisecond
+	resumeWait = 2*reconcileInterval + 100*time.Millisecond
 	// keptOfferTime is how long a task of a kept job waits at one executor before it is
 	// offered anew: room may have come elsewhere.
-	keptOfferTime = time.Second
+	durableOfferTimeout = time.Second
 	// postponeTime is the pause before a kept task is offered again that found no place.
 	postponeTime = 100 * time.Millisecond
 	// inheritedRuns is added to the number of the last stored run of an adopted task: its
 	// earlier coordinator may have ordered some more that are not stored.
-	inheritedRuns = 1000
+	takeoverRunGap = 1000
 	// keptPatience bounds the wait before a kept job begins, in multiples of the time
 	// within which it is on time: an answer later than that is worth nothing.
-	keptPatience = 2
+	durableWaitFactor = 2
 )
 
 // Progress is what is stored of a task.
@@ -43,17 +43,17 @@
 }
 
 // history is what has to be settled of a kept job.
-type history struct {
+type durableState struct {
 	// version counts changes of the progress.
-	version uint64
-	ends    []heldEnd
+	version     uint64
+	completions []unacknowledgedCompletion
 	// left lists what executors have of a job that has ended; they drop it when the end is
 	// stored.
-	left []Message
+	withdrawals []Message
 }
 
 // heldEnd is an end that an executor holds back until it is stored.
-type heldEnd struct {
+type unacknowledgedCompletion struct {
 	holder  member.Process
 	run     task.RunRef
 	version uint64
@@ -63,13 +63,13 @@
 // come back.
 func (c *Coordinator) CheckAdmission(now time.Duration, j Job) (Reason, time.Duration) {
 	n := newJob(now, j)
-	wait, ok := c.wait(now, n)
-	patience := keptPatience * (n.due - now)
+	wait, ok := c.queueWait(now, n)
+	maxWait := durableWaitFactor * (n.due - now)
 	switch {
-	case !ok && c.rooms.serves(j.Service):
+	case !ok && c.executors.hasService(j.Service):
 		return ReasonNoWorkers, minRetryAfter // there are workers, but none that may run it
-	case wait > patience:
-		return ReasonNoCapacity, max(wait-patience, minRetryAfter)
+	case wait > maxWait:
+		return ReasonNoCapacity, max(wait-maxWait, minRetryAfter)
 	default:
 		return "", 0
 	}
@@ -77,22 +77,22 @@
 
 // keep takes a stored job. Tasks that an earlier coordinator may have started are out of
 // sight at first.
-func (c *Coordinator) keep(now time.Duration, j *job) {
-	c.histories[j.ID] = &history{}
+func (c *Coordinator) submitDurable(now time.Duration, j *job) {
+	c.durableStates[j.ID] = &durableState{}
 	for i, p := range j.Progress {
 		t := j.tasks[i]
 		t.failedRuns, t.failures, t.Run = p.FailedRuns, len(p.FailedRuns), p.LastRun
 		if p.Done {
 			t.state = done
-			j.left[t.ID.Step]--
+			j.remaining[t.ID.Step]--
 			continue
 		}
-		c.lose(now, t)
-		t.adopted = true
+		c.markLost(now, t)
+		t.unknownRuns = true
 	}
 	if len(j.Progress) > 0 {
 		j.mayHaveRun = true
-		if c.finished(now, j) {
+		if c.answerIfDone(now, j) {
 			return
 		}
 	}
@@ -100,8 +100,8 @@
 }
 
 // finished ends a job of which nothing is left.
-func (c *Coordinator) finished(now time.Duration, j *job) bool {
-	for _, n := range j.left {
+func (c *Coordinator) answerIfDone(now time.Duration, j *job) bool {
+	for _, n := range j.remaining {
 		if n > 0 {
 			return false
 		}
@@ -116,47 +116,47 @@
 }
 
 // tickKept offers what was put off and looks for what is out of sight.
-func (c *Coordinator) tickKept(now time.Duration, j *job) {
+func (c *Coordinator) tickDurable(now time.Duration, j *job) {
 	missing := false
 	for _, t := range j.tasks {
 		switch {
 		case t.state == deferred && now >= t.offerAt:
 			c.offer(now, j, t)
-		case t.state == lost && now >= t.lostBy && !j.ready(t.ID.Step):
+		case t.state == lost && now >= t.lostDeadline && !j.ready(t.ID.Step):
 			t.state = blocked
-		case t.state == lost && now >= t.lostBy && !c.held:
-			if t.adopted {
-				t.Run += inheritedRuns
+		case t.state == lost && now >= t.lostDeadline && !c.durablePaused:
+			if t.unknownRuns {
+				t.Run += takeoverRunGap
 			}
 			c.restart(now, j, t, task.Report{ID: t.ID, Run: t.Run, Worker: t.worker, Outcome: task.Terminated, Reason: "surely_over"})
 		case t.state == lost:
 			missing = true
 		}
 	}
-	if missing && now >= j.recallAt {
-		j.recallAt = now + recallEvery
-		c.recall(j.ID)
+	if missing && now >= j.reconcileAt {
+		j.reconcileAt = now + reconcileInterval
+		c.reconcile(j.ID)
 	}
 }
 
 // recall asks all executors about a job.
-func (c *Coordinator) recall(id string) {
-	for _, h := range c.rooms.holders {
-		m := c.message(h.Process, func(m *Message) bool { return m.Reconcile != nil })
+func (c *Coordinator) reconcile(id string) {
+	for _, h := range c.executors.list {
+		m := c.messageTo(h.Process, func(m *Message) bool { return m.Reconcile != nil })
 		m.Reconcile = append(m.Reconcile, id)
 	}
 }
 
 // changed asks for the job's progress to be stored.
-func (c *Coordinator) changed(j *job) {
-	if h := c.histories[j.ID]; h != nil {
-		h.version++
+func (c *Coordinator) progressChanged(j *job) {
+	if d := c.durableStates[j.ID]; d != nil {
+		d.version++
 		c.out.ProgressChanged = append(c.out.ProgressChanged, j.ID)
 	}
 }
 
 // begun notes that a task of the job has started.
-func (c *Coordinator) begun(j *job) {
+func (c *Coordinator) markStarted(j *job) {
 	if j.Durable && !j.mayHaveRun {
 		j.mayHaveRun = true
 		c.out.ProgressChanged = append(c.out.ProgressChanged, j.ID)
@@ -164,37 +164,37 @@
 }
 
 // note keeps in mind that an end is held back at its executor until it is stored.
-func (c *Coordinator) note(j *job, from member.Process, r task.Report) {
+func (c *Coordinator) recordCompletion(j *job, from member.Process, r task.Report) {
 	if !j.Durable || r.Outcome != task.Done && r.Outcome != task.Failed {
 		return
 	}
-	c.changed(j)
-	h := c.histories[j.ID]
-	h.ends = append(h.ends, heldEnd{from, task.RunRef{ID: r.ID, Run: r.Run}, h.version})
+	c.progressChanged(j)
+	d := c.durableStates[j.ID]
+	d.completions = append(d.completions, unacknowledgedCompletion{from, task.RunRef{ID: r.ID, Run: r.Run}, d.version})
 }
 
 // reportedLate takes a report on a task that is not at that executor any more, as far as
 // was known.
-func (c *Coordinator) reportedLate(now time.Duration, from member.Process, j *job, t *jobTask, r task.Report) {
+func (c *Coordinator) handleLateReport(now time.Duration, from member.Process, j *job, t *jobTask, r task.Report) {
 	switch {
 	case t == nil || !t.Durable:
-	case t.state == done && r.Outcome == task.Done && r.Run < t.latest():
-		c.disregard(from, r.ID, r.Run)
+	case t.state == done && r.Outcome == task.Done && r.Run < t.latestStarted():
+		c.supersede(from, r.ID, r.Run)
 	case t.state == done && r.Outcome == task.Done:
-		c.note(j, from, r) // an end that was known before is settled with the others
+		c.recordCompletion(j, from, r) // an end that was known before is settled with the others
 	case t.state == lost && t.holder == from && t.Run == r.Run && r.Outcome == task.NotRun:
-		c.notRun(now, j, t, r)
+		c.taskNotRun(now, j, t, r)
 	}
 }
 
 // disregard tells an executor that a later run than one that was done may have begun since: the
 // earlier end may count for nothing, or the later run would be one of a task that was done.
-func (c *Coordinator) disregard(from member.Process, id task.ID, run uint32) {
+func (c *Coordinator) supersede(from member.Process, id task.ID, run uint32) {
 	c.out.Messages = append(c.out.Messages, Message{To: from, Superseded: []task.RunRef{{ID: id, Run: run}}})
 }
 
 // keptEnded takes an end that was listed for an earlier holder or coordinator.
-func (c *Coordinator) keptEnded(now time.Duration, from member.Process, t *jobTask, workerID string, r task.RunningTask) {
+func (c *Coordinator) handleDurableCompletion(now time.Duration, from member.Process, t *jobTask, workerID string, r task.RunningTask) {
 	j := c.jobs[r.ID.Job]
 	report := task.Report{ID: r.ID, Run: r.Run, Worker: workerID, Outcome: task.Terminated, Reason: "ended_out_of_sight"}
 	switch {
@@ -205,24 +205,24 @@
 	}
 	mine := t.state == lost && r.Run >= t.Run || t.state == offered && t.worker == workerID && r.Run == t.Run
 	switch {
-	case r.Done && (r.Run < t.latest() || t.state == offered && !mine):
-		c.disregard(from, r.ID, r.Run)
+	case r.Done && (r.Run < t.latestStarted() || t.state == offered && !mine):
+		c.supersede(from, r.ID, r.Run)
 	case t.state == done && r.Done:
-		c.note(j, from, report)
+		c.recordCompletion(j, from, report)
 	case r.Done:
-		t.Run, t.unbegun = r.Run, false
-		c.note(j, from, report)
+		t.Run, t.notStarted = r.Run, false
+		c.recordCompletion(j, from, report)
 		c.taskDone(now, j, t)
-	case t.adopted:
+	case t.unknownRuns:
 		// The earlier coordinator may have started a later run.
 		if r.Failed {
-			c.note(j, from, report)
+			c.recordCompletion(j, from, report)
 			c.countFailure(now, j, t, r.Run)
 		}
 	case !mine:
 	case r.Failed:
 		t.Run = r.Run
-		c.note(j, from, report)
+		c.recordCompletion(j, from, report)
 		c.taskFailed(now, j, t, report)
 	default:
 		t.Run = r.Run
@@ -247,8 +247,8 @@
 // Progress returns the version of a kept job's progress and the progress itself; no tasks
 // when the job has ended.
 func (c *Coordinator) Progress(id string) (version uint64, tasks []Progress) {
-	if h := c.histories[id]; h != nil {
-		version = h.version
+	if d := c.durableStates[id]; d != nil {
+		version = d.version
 	}
 	j := c.jobs[id]
 	if j == nil {
@@ -269,14 +269,14 @@
 // relinquish takes back what executors have of a job that has ended or is not to be run here:
 // what waits is dropped and what runs is stopped, but ends are held back still, as
 // another coordinator may have to learn of them.
-func (c *Coordinator) relinquish(j *job) {
+func (c *Coordinator) withdrawRetaining(j *job) {
 	first := len(c.out.Messages)
 	c.withdraw(0, j) // of kept jobs the time says nothing
 	for i := first; i < len(c.out.Messages); i++ {
 		m := &c.out.Messages[i]
 		m.WithdrawDurable, m.Withdraw = m.Withdraw, nil
-		if h := c.histories[j.ID]; h != nil {
-			h.left = append(h.left, Message{To: m.To, Withdraw: m.WithdrawDurable})
+		if d := c.durableStates[j.ID]; d != nil {
+			d.withdrawals = append(d.withdrawals, Message{To: m.To, Withdraw: m.WithdrawDurable})
 		}
 	}
 }
@@ -284,41 +284,41 @@
 // HandlePersisted tells that the progress of a kept job is stored up to a version; ended, that
 // its end is too. Executors may acknowledge the ends.
 func (c *Coordinator) HandlePersisted(id string, version uint64, ended bool) {
-	h := c.histories[id]
-	if h == nil {
+	d := c.durableStates[id]
+	if d == nil {
 		return
 	}
-	rest := h.ends[:0]
-	for _, e := range h.ends {
+	rest := d.completions[:0]
+	for _, e := range d.completions {
 		if !ended && e.version > version {
 			rest = append(rest, e)
 			continue
 		}
-		m := c.message(e.holder, func(m *Message) bool { return m.ConfirmStored != nil })
+		m := c.messageTo(e.holder, func(m *Message) bool { return m.ConfirmStored != nil })
 		m.ConfirmStored = append(m.ConfirmStored, e.run)
 	}
-	h.ends = rest
+	d.completions = rest
 	if ended {
-		c.out.Messages = append(c.out.Messages, h.left...)
-		delete(c.histories, id)
+		c.out.Messages = append(c.out.Messages, d.withdrawals...)
+		delete(c.durableStates, id)
 	}
 }
 
 // DropJob drops a kept job that is another daemon's now: what runs is stopped, and ends
 // are left for the other to learn.
 func (c *Coordinator) DropJob(id string) {
-	delete(c.histories, id)
+	delete(c.durableStates, id)
 	if j := c.jobs[id]; j != nil {
-		c.relinquish(j)
+		c.withdrawRetaining(j)
 		c.drop(j)
 	}
 }
 
 // DropDurableJobs drops all kept jobs and leaves what runs for them to their heirs.
 func (c *Coordinator) DropDurableJobs() {
-	for _, j := range c.sorted() {
+	for _, j := range c.sortedJobs() {
 		if j.Durable {
-			delete(c.histories, j.ID)
+			delete(c.durableStates, j.ID)
 			c.drop(j)
 		}
 	}
@@ -327,16 +327,16 @@
 // PauseDurable stops the offering of kept tasks while it is uncertain that this daemon still owns
 // their jobs. Afterwards executors are asked first for what is out of sight: they may have
 // been so for all that time, with ends that were not told.
-func (c *Coordinator) PauseDurable(now time.Duration, held bool) {
-	released := c.held && !held
-	c.held = held
-	if !released {
+func (c *Coordinator) PauseDurable(now time.Duration, paused bool) {
+	resumed := c.durablePaused && !paused
+	c.durablePaused = paused
+	if !resumed {
 		return
 	}
 	for _, j := range c.jobs {
 		for _, t := range j.tasks {
 			if t.Durable && t.state == lost {
-				t.lostBy = max(t.lostBy, now+releaseWait)
+				t.lostDeadline = max(t.lostDeadline, now+resumeWait)
 			}
 		}
 	}
@@ -345,21 +345,21 @@
 // WithdrawDurable takes back all tasks of kept jobs: this daemon has not been able to tell for
 // too long whether it still owns them.
 func (c *Coordinator) WithdrawDurable(now time.Duration) {
-	for _, j := range c.sorted() {
+	for _, j := range c.sortedJobs() {
 		if !j.Durable {
 			continue
 		}
-		c.relinquish(j)
+		c.withdrawRetaining(j)
 		for _, t := range j.tasks {
 			if t.state == offered || t.state == lost {
-				c.lose(now, t)
+				c.markLost(now, t)
 			}
 		}
 	}
 }
 
 // EachDurableJob returns the kept jobs by whether a task of them has started.
-func (c *Coordinator) EachDurableJob(each func(id string, begun bool)) {
+func (c *Coordinator) EachDurableJob(each func(id string, started bool)) {
 	for id, j := range c.jobs {
 		if j.Durable {
 			each(id, j.mayHaveRun)
--- a/coordinator/rebalance.go
+++ b/coordinator/rebalance.go
@@ -28,7 +28,7 @@
 		return cmp.Or(task.CompareOverShare(&a.Task, &b.Task), cmp.Compare(a.Due-a.ExpectedRunTime, b.Due-b.ExpectedRunTime), cmp.Compare(a.ID.String(), b.ID.String()))
 	})
 	for _, t := range waiting {
-		if h := c.rooms.take(now, &t.Task); h != nil && h.Process != t.holder {
+		if h := c.executors.place(now, &t.Task); h != nil && h.Process != t.holder {
 			t.reclaiming = true
 			c.reclaim(t)
 		}
@@ -37,6 +37,6 @@
 
 // reclaim asks an executor for a task, in one message with others.
 func (c *Coordinator) reclaim(t *jobTask) {
-	m := c.message(t.holder, func(m *Message) bool { return m.Reclaim != nil })
+	m := c.messageTo(t.holder, func(m *Message) bool { return m.Reclaim != nil })
 	m.Reclaim = append(m.Reclaim, t.ID)
 }
--- a/coordinator/reserve.go
+++ b/coordinator/reserve.go
@@ -12,7 +12,7 @@
 // reservations is at how many further executors a place is reserved for a task that waits. The
 // job is as late as the last of its tasks: with one queue each, a wide one ends with the worst
 // of many. Each costs a place in a message there, and another to drop it.
-const reservations = 2
+const maxReservations = 2
 
 // EventTaskMoves is the name of the event of a task that is asked back for reserved room.
 const EventTaskMoves = "task_moves"
@@ -23,27 +23,27 @@
 		return
 	}
 	// The offer has taken the place of a reservation there; lost executors have forgotten theirs.
-	t.reserved = slices.DeleteFunc(t.reserved, func(p member.Process) bool { return p == t.holder || c.rooms.get(p) == nil })
+	t.reservedAt = slices.DeleteFunc(t.reservedAt, func(p member.Process) bool { return p == t.holder || c.executors.get(p) == nil })
 	var usable []member.Process
-	for _, h := range c.rooms.holdersFor(now, &t.Task) {
-		if h.Process != t.holder && !slices.Contains(t.reserved, h.Process) {
+	for _, h := range c.executors.usableFor(now, &t.Task) {
+		if h.Process != t.holder && !slices.Contains(t.reservedAt, h.Process) {
 			usable = append(usable, h.Process)
 		}
 	}
 	wanted := t.Task
 	wanted.Payload, wanted.MaxEpoch = "", 0 // come with the offer
-	first := int(drawFor(&t.Task) % (1 << 30))
-	for i := range min(len(usable), reservations-len(t.reserved)) {
+	first := int(pseudoRandom(&t.Task) % (1 << 30))
+	for i := range min(len(usable), maxReservations-len(t.reservedAt)) {
 		p := usable[(first+i)%len(usable)]
-		t.reserved = append(t.reserved, p)
-		m := c.message(p, func(m *Message) bool { return m.Reserve != nil })
+		t.reservedAt = append(t.reservedAt, p)
+		m := c.messageTo(p, func(m *Message) bool { return m.Reserve != nil })
 		m.Reserve = append(m.Reserve, wanted)
 	}
 }
 
 // message returns the last message to an executor if it is of the kind, else a new one: a later
 // message must not be overtaken.
-func (c *Coordinator) message(to member.Process, ofKind func(*Message) bool) *Message {
+func (c *Coordinator) messageTo(to member.Process, ofKind func(*Message) bool) *Message {
 	for i := len(c.out.Messages) - 1; i >= 0; i-- {
 		if m := &c.out.Messages[i]; m.To == to {
 			if ofKind(m) {
@@ -58,50 +58,50 @@
 
 // unreserve drops all reservations of a task, and the room that is held for it.
 func (c *Coordinator) unreserve(t *jobTask) {
-	for _, p := range t.reserved {
+	for _, p := range t.reservedAt {
 		c.dropReservation(p, t.ID)
 	}
-	if t.movesTo != (member.Process{}) {
-		c.dropReservation(t.movesTo, t.ID)
+	if t.moveTo != (member.Process{}) {
+		c.dropReservation(t.moveTo, t.ID)
 	}
-	t.reserved, t.movesTo = nil, member.Process{}
+	t.reservedAt, t.moveTo = nil, member.Process{}
 }
 
 func (c *Coordinator) dropReservation(at member.Process, id task.ID) {
-	m := c.message(at, func(m *Message) bool { return m.Unreserve != nil })
+	m := c.messageTo(at, func(m *Message) bool { return m.Unreserve != nil })
 	m.Unreserve = append(m.Unreserve, id)
 }
 
 // roomFound asks a task back that still waits, to offer it to an executor that holds room for it.
-func (c *Coordinator) roomFound(from member.Process, r task.Report) {
+func (c *Coordinator) handleReservedCapacity(from member.Process, r task.Report) {
 	t := c.lookup(r.ID)
 	if t == nil {
 		c.dropReservation(from, r.ID)
 		return
 	}
-	t.reserved = slices.DeleteFunc(t.reserved, func(p member.Process) bool { return p == from })
+	t.reservedAt = slices.DeleteFunc(t.reservedAt, func(p member.Process) bool { return p == from })
 	if t.state != offered || !t.waiting || t.reclaiming || t.holder == from || t.offers >= maxMoves {
 		c.dropReservation(from, r.ID)
 		return
 	}
-	t.reclaiming, t.movesTo = true, from
+	t.reclaiming, t.moveTo = true, from
 	c.event(EventTaskMoves, t, fmt.Sprintf("from=%s to=%s", t.holder.Address, from.Address))
 	c.reclaim(t)
 }
 
 // target returns the executor that a task is to be offered to, and whether there is room: the
 // one that holds room for it, one that told of room, or one where it waits.
-func (c *Coordinator) target(now time.Duration, t *jobTask) (h *ExecutorState, hasRoom bool) {
-	h = c.rooms.get(t.movesTo)
-	t.movesTo = member.Process{}
+func (c *Coordinator) chooseExecutor(now time.Duration, t *jobTask) (h *ExecutorState, hasCapacity bool) {
+	h = c.executors.get(t.moveTo)
+	t.moveTo = member.Process{}
 	if h != nil && h.offerable(now) {
 		return h, true
 	}
-	if h = c.rooms.take(now, &t.Task); h != nil {
+	if h = c.executors.place(now, &t.Task); h != nil {
 		return h, true
 	}
-	if h = c.rooms.queue(now, &t.Task); h != nil {
-		h.charge(now, &t.Task)
+	if h = c.executors.chooseQueue(now, &t.Task); h != nil {
+		h.addBacklog(now, &t.Task)
 	}
 	return h, false
 }
--- a/coordinator/retire.go
+++ b/coordinator/retire.go
@@ -10,34 +10,34 @@
 // SetRetiredDomains tells which failure domains' workers are to get no new runs. Executors say so too
 // with their next heartbeats; until then they would be offered tasks that they give back.
 func (c *Coordinator) SetRetiredDomains(domains map[string]bool) {
-	c.rooms.retired = domains
-	for _, h := range c.rooms.holders {
-		h.retire(domains)
+	c.executors.retired = domains
+	for _, h := range c.executors.list {
+		h.closeRetired(domains)
 	}
 }
 
 // retire closes the rooms of retired failure domains. Those that were taken back open with
 // the executor's next word.
-func (h *ExecutorState) retire(domains map[string]bool) {
+func (h *ExecutorState) closeRetired(domains map[string]bool) {
 	for i := range h.Workers {
-		if r := &h.Workers[i]; domains[r.Domain] {
-			r.Open, r.Usable = false, false
+		if w := &h.Workers[i]; domains[w.Domain] {
+			w.Open, w.Usable = false, false
 		}
 	}
-	h.counted = counted{} // those were counted
+	h.fitCount = fitCount{} // those were counted
 }
 
 // allRetired reports whether executors have workers of the service, and all of them are of
 // retired failure domains.
-func (r *rooms) allRetired(now time.Duration, service string) bool {
+func (r *executors) allRetired(now time.Duration, service string) bool {
 	known := false
-	for _, h := range r.holders {
+	for _, h := range r.list {
 		for i := range h.Workers {
-			room := &h.Workers[i]
-			if room.Service != service || !h.offerable(now) {
+			w := &h.Workers[i]
+			if w.Service != service || !h.offerable(now) {
 				continue
 			}
-			if !r.retired[room.Domain] {
+			if !r.retired[w.Domain] {
 				return false
 			}
 			known = true
--- a/coordinator/rooms.go
+++ b/coordinator/rooms.go
@@ -33,79 +33,79 @@
 	ReportedAt time.Duration
 	// ReportInterval is the time after which its next word is due; 0: 100 ms.
 	ReportInterval time.Duration
-	counted        counted
+	fitCount       fitCount
 	// tenures is how many of its tenures are known; 0: not told.
-	tenures uint64
+	maxEpoch uint64
 }
 
 // counted is how many tasks of a kind an executor's workers can run at a time, as it was asked
 // last: the tasks of a job are alike, and each asks it of all executors several times.
-type counted struct {
-	key         countKey
+type fitCount struct {
+	key         fitCountKey
 	inTime, all int
 }
 
 // countKey is what the count depends on beside the rooms.
-type countKey struct {
+type fitCountKey struct {
 	service       string
 	demand        capacity.Vector
-	usual         usualRatio
+	median        medianSlowdown
 	now           time.Duration
 	due, expected time.Duration
 }
 
 const (
 	// usualInterval is the time between an executor's words where it doesn't name it.
-	usualInterval = 100 * time.Millisecond
+	defaultReportInterval = 100 * time.Millisecond
 	// overdueSlack is how late an executor's next word may be before it is offered nothing
 	// new. It is given up only after several intervals; until then tasks offered to one that
 	// is cut off, frozen or without power would be lost to their callers.
-	overdueSlack = 200 * time.Millisecond
+	overdueTolerance = 200 * time.Millisecond
 )
 
 // offerable reports whether the executor is offered new tasks.
 func (h *ExecutorState) offerable(now time.Duration) bool {
-	return !h.Leaving && (h.ReportedAt == 0 || now-h.ReportedAt <= cmp.Or(h.ReportInterval, usualInterval)+overdueSlack)
+	return !h.Leaving && (h.ReportedAt == 0 || now-h.ReportedAt <= cmp.Or(h.ReportInterval, defaultReportInterval)+overdueTolerance)
 }
 
 // rooms is the coordinator's idea of all executors.
-type rooms struct {
-	holders []*ExecutorState
+type executors struct {
+	list []*ExecutorState
 	// retired are the failure domains whose workers get no new runs.
-	retired map[string]bool
-	paces   paces
+	retired   map[string]bool
+	slowdowns slowdowns
 }
 
-func (r *rooms) set(h ExecutorState) {
+func (r *executors) update(h ExecutorState) {
 	before := r.get(h.Process)
-	h.countTenures(before)
+	h.updateMaxEpoch(before)
 	if before == nil || before.Distance != h.Distance {
 		r.remove(h.Process)
 		r.insert(h)
 		return
 	}
 	*before = h // in its place: this daemon's own is set at each event
-	before.retire(r.retired)
+	before.closeRetired(r.retired)
 }
 
-func (r *rooms) insert(h ExecutorState) {
-	h.retire(r.retired)
-	at, _ := slices.BinarySearchFunc(r.holders, &h, func(a, b *ExecutorState) int {
+func (r *executors) insert(h ExecutorState) {
+	h.closeRetired(r.retired)
+	at, _ := slices.BinarySearchFunc(r.list, &h, func(a, b *ExecutorState) int {
 		return cmp.Or(cmp.Compare(a.Distance, b.Distance), a.Process.Address.Compare(b.Process.Address), cmp.Compare(a.Process.Incarnation, b.Process.Incarnation))
 	})
-	r.holders = slices.Insert(r.holders, at, &h)
+	r.list = slices.Insert(r.list, at, &h)
 }
 
 // copyTo makes p a copy for trying out where tasks would go. What p has is used again, as in
 // an overload each job that finds no room needs such a copy.
-func (r *rooms) copyTo(p *rooms) {
-	p.retired, p.paces = r.retired, r.paces
-	for len(p.holders) < len(r.holders) {
-		p.holders = append(p.holders, new(ExecutorState))
+func (r *executors) copyTo(p *executors) {
+	p.retired, p.slowdowns = r.retired, r.slowdowns
+	for len(p.list) < len(r.list) {
+		p.list = append(p.list, new(ExecutorState))
 	}
-	p.holders = p.holders[:len(r.holders)]
-	for i, h := range r.holders {
-		n := p.holders[i]
+	p.list = p.list[:len(r.list)]
+	for i, h := range r.list {
+		n := p.list[i]
 		list, backlog := append(n.Workers[:0], h.Workers...), n.Backlog
 		if backlog == nil {
 			backlog = make(map[string]executor.Backlog, len(h.Backlog))
@@ -117,8 +117,8 @@
 	}
 }
 
-func (r *rooms) get(p member.Process) *ExecutorState {
-	for _, h := range r.holders {
+func (r *executors) get(p member.Process) *ExecutorState {
+	for _, h := range r.list {
 		if h.Process == p {
 			return h
 		}
@@ -126,48 +126,48 @@
 	return nil
 }
 
-func (r *rooms) remove(p member.Process) {
-	r.holders = slices.DeleteFunc(r.holders, func(h *ExecutorState) bool { return h.Process == p })
+func (r *executors) remove(p member.Process) {
+	r.list = slices.DeleteFunc(r.list, func(h *ExecutorState) bool { return h.Process == p })
 }
 
 // take returns an executor with room for the task now and takes the room off: the nearest
 // one, with the tightest fit. Among equally near ones each task begins with another:
 // coordinators that all began with the same would take its room from each other.
-func (r *rooms) take(now time.Duration, t *task.Task) *ExecutorState {
-	h, room := r.find(now, t)
+func (r *executors) place(now time.Duration, t *task.Task) *ExecutorState {
+	h, w := r.findPlacement(now, t)
 	if h != nil {
-		room.Free = room.Free.Minus(t.Demand)
+		w.Free = w.Free.Minus(t.Demand)
 	}
 	return h
 }
 
 // fit reports whether there is room for all of the tasks now. It takes nothing.
-func (r *rooms) fit(now time.Duration, tasks []*task.Task) bool {
+func (r *executors) fitsAll(now time.Duration, tasks []*task.Task) bool {
 	type taken struct {
-		room *executor.WorkerCapacity
+		w    *executor.WorkerCapacity
 		free capacity.Vector
 	}
 	var undo []taken
 	fits := true
 	for _, t := range tasks {
-		h, room := r.find(now, t)
+		h, w := r.findPlacement(now, t)
 		if fits = h != nil; !fits {
 			break
 		}
-		undo = append(undo, taken{room, room.Free})
-		room.Free = room.Free.Minus(t.Demand)
+		undo = append(undo, taken{w, w.Free})
+		w.Free = w.Free.Minus(t.Demand)
 	}
 	for i := len(undo) - 1; i >= 0; i-- {
-		undo[i].room.Free = undo[i].free
+		undo[i].w.Free = undo[i].free
 	}
 	return fits
 }
 
 // find returns the executor and the worker that the task is to be offered for.
-func (r *rooms) find(now time.Duration, t *task.Task) (*ExecutorState, *executor.WorkerCapacity) {
-	usual := r.usualRatio(now, t.Service)
-	draw := int(drawFor(t) % (1 << 30))
-	for rest := r.holders; len(rest) > 0; {
+func (r *executors) findPlacement(now time.Duration, t *task.Task) (*ExecutorState, *executor.WorkerCapacity) {
+	median := r.medianSlowdown(now, t.Service)
+	draw := int(pseudoRandom(t) % (1 << 30))
+	for rest := r.list; len(rest) > 0; {
 		n := 1
 		for n < len(rest) && rest[n].Distance == rest[0].Distance {
 			n++
@@ -177,8 +177,8 @@
 			if !h.offerable(now) {
 				continue
 			}
-			if room := h.fit(now, t, usual); room != nil {
-				return h, room
+			if w := h.bestFit(now, t, median); w != nil {
+				return h, w
 			}
 		}
 		rest = rest[n:]
@@ -187,8 +187,8 @@
 }
 
 // usable is the number of workers that executors in touch have told of.
-func (r *rooms) usable(now time.Duration) (n int) {
-	for _, h := range r.holders {
+func (r *executors) usableWorkers(now time.Duration) (n int) {
+	for _, h := range r.list {
 		if !h.offerable(now) {
 			continue
 		}
@@ -202,14 +202,14 @@
 }
 
 // drawFor is a pseudo-random number for an offer of the task.
-func drawFor(t *task.Task) uint64 { return xxhash.Sum64String(t.ID.String()) + uint64(t.Run) }
+func pseudoRandom(t *task.Task) uint64 { return xxhash.Sum64String(t.ID.String()) + uint64(t.Run) }
 
 // fit returns the worker with the tightest fit that isn't too slow.
-func (h *ExecutorState) fit(now time.Duration, t *task.Task, usual usualRatio) *executor.WorkerCapacity {
+func (h *ExecutorState) bestFit(now time.Duration, t *task.Task, median medianSlowdown) *executor.WorkerCapacity {
 	var best *executor.WorkerCapacity
 	for i := range h.Workers {
 		w := &h.Workers[i]
-		if !w.Open || w.Service != t.Service || !t.Demand.Fits(w.Free) || slices.Contains(t.Avoid, w.Worker) || usual.tooSlow(now, w, t) {
+		if !w.Open || w.Service != t.Service || !t.Demand.Fits(w.Free) || slices.Contains(t.Avoid, w.Worker) || median.tooSlow(now, w, t) {
 			continue
 		}
 		if best == nil || w.Free.MilliCPU < best.Free.MilliCPU {
@@ -221,15 +221,15 @@
 
 // close notes that the executor takes nothing until its next word. Its workers stay known: what
 // was offered there may run on them.
-func (h *ExecutorState) close() {
+func (h *ExecutorState) markUnavailable() {
 	for i := range h.Workers {
 		h.Workers[i].Open, h.Workers[i].Usable = false, false
 	}
-	h.counted = counted{} // those were counted
+	h.fitCount = fitCount{} // those were counted
 }
 
 // full notes that the executor has no room for the task now.
-func (h *ExecutorState) full(t *task.Task) {
+func (h *ExecutorState) markFull(t *task.Task) {
 	for i := range h.Workers {
 		if w := &h.Workers[i]; w.Service == t.Service && t.Demand.Fits(w.Free) {
 			w.Free.MilliCPU = t.Demand.MilliCPU - 1
@@ -240,8 +240,8 @@
 // queue returns the executor at which the task is to wait: of two, the one with the shorter
 // wait. The shortest of all would be the choice of all coordinators until its next
 // heartbeat. Nil when no worker may run the task.
-func (r *rooms) queue(now time.Duration, t *task.Task) *ExecutorState {
-	usable := r.holdersFor(now, t)
+func (r *executors) chooseQueue(now time.Duration, t *task.Task) *ExecutorState {
+	usable := r.usableFor(now, t)
 	n := uint64(len(usable))
 	switch n {
 	case 0:
@@ -249,7 +249,7 @@
 	case 1:
 		return usable[0]
 	}
-	draw := drawFor(t)
+	draw := pseudoRandom(t)
 	first := usable[draw%n]
 	second := usable[(draw%n+1+(draw>>32)%(n-1))%n]
 	if r.waitAt(now, second, t) < r.waitAt(now, first, t) {
@@ -260,18 +260,18 @@
 
 // holdersFor returns the executors with a worker for the task that isn't too slow; where there
 // is none, those with any.
-func (r *rooms) holdersFor(now time.Duration, t *task.Task) []*ExecutorState {
+func (r *executors) usableFor(now time.Duration, t *task.Task) []*ExecutorState {
 	var inTime, all []*ExecutorState
-	usual := r.usualRatio(now, t.Service)
-	for _, h := range r.holders {
+	median := r.medianSlowdown(now, t.Service)
+	for _, h := range r.list {
 		if !h.offerable(now) {
 			continue
 		}
-		fast, n := h.copies(now, t, usual)
-		if fast > 0 {
+		inTimeCount, count := h.fitCounts(now, t, median)
+		if inTimeCount > 0 {
 			inTime = append(inTime, h)
 		}
-		if n > 0 {
+		if count > 0 {
 			all = append(all, h)
 		}
 	}
@@ -282,10 +282,10 @@
 }
 
 // serves reports whether a worker of the service is known.
-func (r *rooms) serves(service string) bool {
-	for _, h := range r.holders {
-		for _, room := range h.Workers {
-			if room.Usable && room.Service == service {
+func (r *executors) hasService(service string) bool {
+	for _, h := range r.list {
+		for _, w := range h.Workers {
+			if w.Usable && w.Service == service {
 				return true
 			}
 		}
@@ -294,37 +294,37 @@
 }
 
 // maxCopies bounds how many tasks count as fitting on one worker at a time.
-const maxCopies = 1000
+const maxFitCount = 1000
 
 // copies is how many such tasks the executor's workers can run at a time: a part of a
 // worker too small for one task is no room. Workers that are too slow are counted in all only.
-func (h *ExecutorState) copies(now time.Duration, t *task.Task, usual usualRatio) (inTime, all int) {
-	k := countKey{t.Service, t.Demand, usual, now, t.Due, t.ExpectedRunTime}
-	if h.counted.key == k {
-		return h.counted.inTime, h.counted.all
+func (h *ExecutorState) fitCounts(now time.Duration, t *task.Task, median medianSlowdown) (inTime, all int) {
+	k := fitCountKey{t.Service, t.Demand, median, now, t.Due, t.ExpectedRunTime}
+	if h.fitCount.key == k {
+		return h.fitCount.inTime, h.fitCount.all
 	}
 	for i := range h.Workers {
 		w := &h.Workers[i]
 		if !w.Usable || w.Service != t.Service {
 			continue
 		}
-		n := t.Demand.FitCount(w.Total, maxCopies)
+		n := t.Demand.FitCount(w.Total, maxFitCount)
 		all += n
-		if !usual.tooSlow(now, w, t) {
+		if !median.tooSlow(now, w, t) {
 			inTime += n
 		}
 	}
-	h.counted = counted{k, inTime, all}
+	h.fitCount = fitCount{k, inTime, all}
 	return inTime, all
 }
 
 // waitAt is the time for which the work before the task keeps an executor's workers busy.
-func (r *rooms) waitAt(now time.Duration, h *ExecutorState, t *task.Task) time.Duration {
-	copies, _ := h.copies(now, t, r.usualRatio(now, t.Service))
-	return waitFor(t, h.ahead(now, t), copies)
+func (r *executors) waitAt(now time.Duration, h *ExecutorState, t *task.Task) time.Duration {
+	count, _ := h.fitCounts(now, t, r.medianSlowdown(now, t.Service))
+	return drainTime(t, h.workAhead(now, t), count)
 }
 
-func (h *ExecutorState) ahead(now time.Duration, t *task.Task) int64 {
+func (h *ExecutorState) workAhead(now time.Duration, t *task.Task) int64 {
 	b := h.Backlog[t.Service]
 	return b.Ahead(now, t)
 }
@@ -332,33 +332,33 @@
 // wait is the time for which the task would wait if all executors had one queue: tasks move
 // to where there is room. copies is how many of them run at a time; 0: no worker may run it.
 // Workers that are too slow for it count only where there are no others.
-func (r *rooms) wait(now time.Duration, t *task.Task) (d time.Duration, copies int) {
-	usual := r.usualRatio(now, t.Service)
+func (r *executors) sharedWait(now time.Duration, t *task.Task) (wait time.Duration, count int) {
+	median := r.medianSlowdown(now, t.Service)
 	ahead, all := int64(0), 0
-	for _, h := range r.holders {
+	for _, h := range r.list {
 		if !h.offerable(now) {
 			continue
 		}
-		if inTime, n := h.copies(now, t, usual); n > 0 {
+		if inTime, n := h.fitCounts(now, t, median); n > 0 {
 			all += n
-			copies += inTime
-			ahead += h.ahead(now, t)
+			count += inTime
+			ahead += h.workAhead(now, t)
 		}
 	}
-	if copies == 0 {
-		copies = all
+	if count == 0 {
+		count = all
 	}
-	return usual.lasting(waitFor(t, ahead, copies)), copies
+	return median.scale(drainTime(t, ahead, count)), count
 }
 
 // waitFor is how long work in core-ms lasts on room for a number of copies of the task.
-func waitFor(t *task.Task, ahead int64, copies int) time.Duration {
-	slots := ahead * 1000 / max(t.Demand.MilliCPU, 1)
-	return time.Duration(slots/int64(max(copies, 1))) * time.Millisecond
+func drainTime(t *task.Task, work int64, count int) time.Duration {
+	slots := work * 1000 / max(t.Demand.MilliCPU, 1)
+	return time.Duration(slots/int64(max(count, 1))) * time.Millisecond
 }
 
 // charge adds a task to the work that waits at an executor.
-func (h *ExecutorState) charge(now time.Duration, t *task.Task) {
+func (h *ExecutorState) addBacklog(now time.Duration, t *task.Task) {
 	if h.Backlog == nil {
 		h.Backlog = make(map[string]executor.Backlog)
 	}
@@ -368,9 +368,9 @@
 }
 
 // share is one daemon's part of the processors, in cores, of all workers of a service.
-func (r *rooms) share(now time.Duration, service string) float64 {
+func (r *executors) daemonShare(now time.Duration, service string) float64 {
 	milli, daemons := int64(0), 0
-	for _, h := range r.holders {
+	for _, h := range r.list {
 		if !h.offerable(now) {
 			continue
 		}
--- a/coordinator/succession.go
+++ b/coordinator/succession.go
@@ -11,40 +11,40 @@
 )
 
 // succession is the takeover of a worker.
-type succession struct {
-	by member.Process
-	at time.Duration
+type takeover struct {
+	successor  member.Process
+	receivedAt time.Duration
 	// running is what the worker listed then.
 	running map[task.ID]uint32
 	// token is that of the tenure; 0: not told. recalled: the list is of later than its beginning.
-	token    uint64
-	recalled bool
+	token      uint64
+	reconciled bool
 }
 
 // after reports whether the list is later than all starts in the tenure of a token, which the worker
 // refuses then. Earlier daemons tell no tokens; their takeovers count for a while.
-func (s succession) after(now time.Duration, token uint64) bool {
+func (s takeover) laterThan(now time.Duration, token uint64) bool {
 	if s.token == 0 || token == 0 {
-		return s.at > 0 && now-s.at <= successionMemory
+		return s.receivedAt > 0 && now-s.receivedAt <= takeoverRetention
 	}
-	return s.token > token || s.recalled && s.token == token
+	return s.token > token || s.reconciled && s.token == token
 }
 
 // before reports whether the list is earlier than the tenure of a token.
-func (s succession) before(token uint64) bool { return s.token > 0 && s.token < token }
+func (s takeover) earlierThan(token uint64) bool { return s.token > 0 && s.token < token }
 
 // claimLate claims a task from a successor whose question came before the news that the
 // task had run there. The run may have been stopped as unclaimed meanwhile; then the
 // successor says when it is over. A successor that has lost the worker again itself is not
 // asked: it would say "moved" for ever.
-func (c *Coordinator) claimLate(now time.Duration, from member.Process, t *jobTask) {
-	s := c.successors[t.worker]
-	if s.by == from || !s.after(now, t.token) || c.rooms.get(s.by) == nil {
+func (c *Coordinator) claimFromSuccessor(now time.Duration, from member.Process, t *jobTask) {
+	s := c.latestTakeovers[t.worker]
+	if s.successor == from || !s.laterThan(now, t.token) || c.executors.get(s.successor) == nil {
 		return
 	}
-	t.state, t.holder, t.token, t.MaxEpoch = offered, s.by, s.token, c.rooms.knownTenures(s.by)
+	t.state, t.holder, t.token, t.MaxEpoch = offered, s.successor, s.token, c.executors.maxEpoch(s.successor)
 	c.event("task_claimed", t, "late")
-	c.out.Messages = append(c.out.Messages, Message{To: s.by, Claims: &executor.Claims{
+	c.out.Messages = append(c.out.Messages, Message{To: s.successor, Claims: &executor.Claims{
 		Owner: c.self, Worker: t.worker, Tasks: []task.Task{t.Task},
 	}})
 }
@@ -52,24 +52,24 @@
 // HandleExecutorLost tells that an executor is gone or can't be reached. What it ran is claimed
 // from its successors.
 func (c *Coordinator) HandleExecutorLost(now time.Duration, p member.Process) {
-	told := c.told(p)
-	workers := maps.Clone(told)
+	tokens := c.workersOf(p)
+	workers := maps.Clone(tokens)
 	maps.DeleteFunc(workers, func(w string, token uint64) bool {
-		s := c.successors[w]
-		return s.by != p && s.after(now, token)
+		s := c.latestTakeovers[w]
+		return s.successor != p && s.laterThan(now, token)
 	})
-	if h := c.rooms.get(p); h != nil {
-		c.rooms.paces.keep(now, h)
+	if h := c.executors.get(p); h != nil {
+		c.executors.slowdowns.retain(now, h)
 	}
-	c.rooms.remove(p)
-	c.endingsLost(now, p)
+	c.executors.remove(p)
+	c.startStopTimeout(now, p)
 	affected := 0
-	for _, j := range c.sorted() {
+	for _, j := range c.sortedJobs() {
 		for _, t := range j.tasks {
 			if t.state == offered && t.holder == p {
 				affected++
-				c.lose(now, t)
-				c.findSuccessor(now, p, t, told)
+				c.markLost(now, t)
+				c.findSuccessor(now, p, t, tokens)
 			}
 		}
 	}
@@ -77,22 +77,22 @@
 		c.out.Events = append(c.out.Events, executor.Event{
 			Name: "executor_lost", Detail: fmt.Sprintf("address=%s tasks=%d workers=%d", p.Address, affected, len(workers)),
 		})
-		c.takenOver[p] = workers
-		c.resolve(now, p)
+		c.awaitingTakeover[p] = workers
+		c.resolveLostExecutor(now, p)
 	}
 }
 
 // told returns the workers on which an executor may run what it was offered, and the tokens of its
 // tenures.
-func (c *Coordinator) told(p member.Process) map[string]uint64 {
+func (c *Coordinator) workersOf(p member.Process) map[string]uint64 {
 	workers := make(map[string]uint64)
-	if h := c.rooms.get(p); h != nil {
+	if h := c.executors.get(p); h != nil {
 		for _, r := range h.Workers {
 			workers[r.Worker] = r.Token
 		}
 	}
-	for w, s := range c.successors {
-		if s.by == p {
+	for w, s := range c.latestTakeovers {
+		if s.successor == p {
 			workers[w] = max(workers[w], s.token) // taken since its last heartbeat, perhaps
 		}
 	}
@@ -101,90 +101,90 @@
 
 // forgetOld drops takeovers that are of no use any more: since then heartbeats have told
 // who holds what.
-func (c *Coordinator) forgetOld(now time.Duration) {
-	for w, s := range c.successors {
-		if now-s.at > 5*successionMemory {
-			delete(c.successors, w)
+func (c *Coordinator) dropOldTakeovers(now time.Duration) {
+	for w, s := range c.latestTakeovers {
+		if now-s.receivedAt > 5*takeoverRetention {
+			delete(c.latestTakeovers, w)
 		}
 	}
 }
 
 // findSuccessor claims a lost task from a daemon that has noticed the loss sooner.
-func (c *Coordinator) findSuccessor(now time.Duration, lostHolder member.Process, t *jobTask, told map[string]uint64) {
+func (c *Coordinator) findSuccessor(now time.Duration, lostHolder member.Process, t *jobTask, tokens map[string]uint64) {
 	if t.worker == "" {
-		for w, s := range c.successors {
-			if run, ok := s.running[t.ID]; ok && run == t.Run && s.by != lostHolder && s.after(now, told[w]) {
-				t.worker, t.token = w, told[w]
+		for w, s := range c.latestTakeovers {
+			if run, ok := s.running[t.ID]; ok && run == t.Run && s.successor != lostHolder && s.laterThan(now, tokens[w]) {
+				t.worker, t.token = w, tokens[w]
 			}
 		}
 	}
-	c.claimLate(now, lostHolder, t)
+	c.claimFromSuccessor(now, lostHolder, t)
 }
 
 // HandleTakeover answers a successor's question about a worker.
 func (c *Coordinator) HandleTakeover(now time.Duration, from member.Process, t executor.Takeover) {
-	c.forgetOld(now)
-	c.rooms.tenureBegan(from, t)
-	if s := successionOf(now, from, t); !s.before(c.successors[t.Worker].token) {
-		c.successors[t.Worker] = s
+	c.dropOldTakeovers(now)
+	c.executors.addEpoch(from, t)
+	if s := newTakeover(now, from, t); !s.earlierThan(c.latestTakeovers[t.Worker].token) {
+		c.latestTakeovers[t.Worker] = s
 	}
-	if c.undecidedFor(t) {
-		c.undecided = append(c.undecided, undecided{from, t, now})
+	if c.hasUnconfirmedRun(t) {
+		c.pendingTakeovers = append(c.pendingTakeovers, pendingTakeover{from, t, now})
 		return
 	}
 	c.answerTakeover(now, from, t)
 }
 
-func successionOf(now time.Duration, from member.Process, t executor.Takeover) succession {
+func newTakeover(now time.Duration, from member.Process, t executor.Takeover) takeover {
 	running := make(map[task.ID]uint32)
 	for _, r := range t.Running {
 		running[r.ID] = r.Run
 	}
-	return succession{from, now, running, t.Token, t.Reconciliation}
+	return takeover{from, now, running, t.Token, t.Reconciliation}
 }
 
 // answerTakeover claims what is this coordinator's and restarts what the worker doesn't list.
 func (c *Coordinator) answerTakeover(now time.Duration, from member.Process, t executor.Takeover) {
-	s := successionOf(now, from, t)
+	s := newTakeover(now, from, t)
 	claims := executor.Claims{Owner: c.self, Worker: t.Worker}
 	for _, r := range t.Running {
-		if jt := c.lookup(r.ID); jt != nil && jt.Run <= r.Run && c.mayList(s, t.Worker, jt) {
-			c.begun(c.jobs[r.ID.Job])
-			jt.Run, jt.state, jt.holder, jt.worker, jt.adopted = r.Run, offered, from, t.Worker, false
+		if jt := c.lookup(r.ID); jt != nil && jt.Run <= r.Run && c.mayBeListedRun(s, t.Worker, jt) {
+			c.markStarted(c.jobs[r.ID.Job])
+			jt.Run, jt.state, jt.holder, jt.worker, jt.unknownRuns = r.Run, offered, from, t.Worker, false
 			jt.token = t.Token
-			jt.MaxEpoch = c.rooms.knownTenures(from)
+			jt.MaxEpoch = c.executors.maxEpoch(from)
 			c.jobs[r.ID.Job].mayHaveRun = true
 			claims.Tasks = append(claims.Tasks, jt.Task)
 			c.event("task_claimed", jt, "running")
 		}
 	}
 	for _, r := range t.Completed {
-		c.endedBefore(now, s, t.Worker, r)
+		c.handleEarlierCompletion(now, s, t.Worker, r)
 	}
-	for _, j := range c.sorted() {
-		c.missing(now, j, t.Worker, s)
+	for _, j := range c.sortedJobs() {
+		c.restartUnlisted(now, j, t.Worker, s)
 	}
-	c.resolveHolders(now, t.Worker, s)
+	c.resolveLostExecutors(now, t.Worker, s)
 	c.out.Messages = append(c.out.Messages, Message{To: from, Claims: &claims})
 }
 
 // mayList reports whether a listed run under the task's number may be the task's.
-func (c *Coordinator) mayList(s succession, workerID string, t *jobTask) bool {
+func (c *Coordinator) mayBeListedRun(s takeover, workerID string, t *jobTask) bool {
 	switch {
 	case t.worker == workerID:
-		return (t.state == lost || t.state == offered) && !s.before(t.token)
+		return (t.state == lost || t.state == offered) && !s.earlierThan(t.token)
 	case t.worker == "":
-		return t.state == lost && !s.before(c.takenOver[t.holder][workerID])
+		return t.state == lost && !s.earlierThan(c.awaitingTakeover[t.holder][workerID])
 	default:
 		return t.state == lost
 	}
 }
 
 // endedBefore takes an end that the worker listed for an earlier holder.
-func (c *Coordinator) endedBefore(now time.Duration, s succession, workerID string, r task.RunningTask) {
+func (c *Coordinator) handleEarlierCompletion(now time.Duration, s takeover, workerID string, r task.RunningTask) {
 	t := c.lookup(r.ID)
 	if t != nil && t.Durable {
-		c.keptEnded(now, s.by, t, workerID, r)
+		c.handleDurableCompletion(now, s.successor, t, workerID, r)
 		return
 	}
 	if t == nil || t.Run != r.Run || t.state != lost && (t.state != offered || t.worker != workerID) {
@@ -192,7 +192,7 @@
 	}
 	// An end of a run that isn't known to have been there by then may be that of an earlier try
 	// of the caller, under the same number: it proves the work done, but not this run over.
-	if !r.Done && (t.worker != workerID || !s.after(now, t.token)) {
+	if !r.Done && (t.worker != workerID || !s.laterThan(now, t.token)) {
 		return
 	}
 	j := c.jobs[r.ID.Job]
@@ -208,12 +208,12 @@
 }
 
 // missing restarts tasks that ran on the worker and are not on its later list any more.
-func (c *Coordinator) missing(now time.Duration, j *job, workerID string, s succession) {
+func (c *Coordinator) restartUnlisted(now time.Duration, j *job, workerID string, s takeover) {
 	for _, t := range j.tasks {
 		if j.ended {
 			return
 		}
-		if _, ok := s.running[t.ID]; ok || t.worker != workerID || t.state != lost || !s.after(now, t.token) {
+		if _, ok := s.running[t.ID]; ok || t.worker != workerID || t.state != lost || !s.laterThan(now, t.token) {
 			continue
 		}
 		c.restart(now, j, t, task.Report{ID: t.ID, Run: t.Run, Worker: workerID, Outcome: task.Terminated, Reason: "not_listed_at_takeover"})
@@ -222,23 +222,23 @@
 
 // resolveHolders restarts what waited at a lost executor once all its workers were taken
 // over and none of them listed it.
-func (c *Coordinator) resolveHolders(now time.Duration, workerID string, s succession) {
-	for p, workers := range c.takenOver {
-		if token, ok := workers[workerID]; ok && s.after(now, token) {
+func (c *Coordinator) resolveLostExecutors(now time.Duration, workerID string, s takeover) {
+	for p, workers := range c.awaitingTakeover {
+		if token, ok := workers[workerID]; ok && s.laterThan(now, token) {
 			delete(workers, workerID)
 		}
-		c.resolve(now, p)
+		c.resolveLostExecutor(now, p)
 	}
 }
 
 // resolve restarts what waited at one lost executor, once it is known of all its workers
 // that none listed it.
-func (c *Coordinator) resolve(now time.Duration, p member.Process) {
-	if workers, ok := c.takenOver[p]; !ok || len(workers) > 0 {
+func (c *Coordinator) resolveLostExecutor(now time.Duration, p member.Process) {
+	if workers, ok := c.awaitingTakeover[p]; !ok || len(workers) > 0 {
 		return
 	}
-	delete(c.takenOver, p)
-	for _, j := range c.sorted() {
+	delete(c.awaitingTakeover, p)
+	for _, j := range c.sortedJobs() {
 		for _, t := range j.tasks {
 			if !j.ended && t.state == lost && t.holder == p && t.worker == "" {
 				c.restart(now, j, t, task.Report{ID: t.ID, Run: t.Run, Outcome: task.Terminated, Reason: "holder_succeeded"})
--- a/coordinator/tenure.go
+++ b/coordinator/tenure.go
@@ -11,29 +11,29 @@
 // lost, and needs no bound.
 
 // countTenures takes the number of tenures that the rooms tell; what was known before is known.
-func (h *ExecutorState) countTenures(before *ExecutorState) {
+func (h *ExecutorState) updateMaxEpoch(before *ExecutorState) {
 	if h.Distance == 0 {
 		return
 	}
 	if before != nil {
-		h.tenures = before.tenures
+		h.maxEpoch = before.maxEpoch
 	}
 	for i := range h.Workers {
-		h.tenures = max(h.tenures, h.Workers[i].Epoch)
+		h.maxEpoch = max(h.maxEpoch, h.Workers[i].Epoch)
 	}
 }
 
 // tenureBegan notes the tenure of a takeover, if all before it are known.
-func (r *rooms) tenureBegan(p member.Process, t executor.Takeover) {
-	if h := r.get(p); h != nil && h.tenures > 0 && t.Epoch == h.tenures+1 {
-		h.tenures = t.Epoch
+func (r *executors) addEpoch(p member.Process, t executor.Takeover) {
+	if h := r.get(p); h != nil && h.maxEpoch > 0 && t.Epoch == h.maxEpoch+1 {
+		h.maxEpoch = t.Epoch
 	}
 }
 
 // knownTenures is the number of an executor's tenures that are known; 0: it needs no bound.
-func (r *rooms) knownTenures(p member.Process) uint64 {
+func (r *executors) maxEpoch(p member.Process) uint64 {
 	if h := r.get(p); h != nil {
-		return h.tenures
+		return h.maxEpoch
 	}
 	return 0
 }
