--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// lastTask is by how many times the last of a job's tasks is foreseen to wait as long as the
-// work before it lasts. Of several tasks one waits longer than the others, more urgent ones
-// come after it, and the sizes of tasks leave a part of the room unused.
+// lastTaskFactor is the factor from the mean wait, the time that the work ahead takes, to the
+// predicted wait of a job's last task. One of several tasks waits longer than the others, more
+// urgent tasks are queued after it, and the sizes of tasks leave a part of the capacity unused.
 const lastTaskFactor = 1.5
 
-// pressure is what a coordinator has done about the load on a service.
+// retrySchedule spreads out the retries of the refused callers of a service.
 type retrySchedule struct {
-	// returning is when the last refused caller was told to come back.
+	// lastRetry is when the caller that was refused last was told to retry.
 	lastRetry time.Duration
 }
 
-// band names the jobs of a service within their shares, or those beyond. The latter wait behind
-// the former, so the callers of either are told apart when to come back.
+// band is the jobs of a service that are within their shares, or those over their shares. Tasks of
+// the latter queue behind tasks of the former, so the callers of each band get retry times of their own.
 type band struct {
 	service   string
 	overShare bool
@@ -30,15 +30,15 @@
 	return s
 }
 
-// judgement is whether a job is taken: the zero value is.
+// admission is the decision on a job. The zero value admits it.
 type admission struct {
 	reason Reason
-	// late is by how much it would be late.
+	// lateBy is by how much the job would miss its time.
 	lateBy time.Duration
 }
 
-// judge decides whether a job can't be served in time. While there is room for its first
-// tasks it is never refused.
+// checkCapacity decides whether the job can be served in time. It never refuses a job while there is
+// free capacity for its ready tasks.
 func (c *Coordinator) checkCapacity(now time.Duration, j *job) admission {
 	wait, ok := c.queueWait(now, j)
 	if !ok && c.executors.allRetired(now, j.Service) && !c.awaitingWorkers(now) {
@@ -53,7 +53,7 @@
 	return admission{}
 }
 
-// retryAfter is when the caller of a job that is refused may come back.
+// retryAfter returns the time after which the caller of a refused job may retry.
 func (c *Coordinator) retryAfter(now time.Duration, j *job, v admission) time.Duration {
 	switch v.reason {
 	case ReasonDomainsRetired:
@@ -65,16 +65,17 @@
 	}
 }
 
-// wideShare is the part of a service's room above which a step counts as wide: it can't
-// run at once, and its own work is no reason to refuse it.
+// wideFraction defines a wide step: one with more tasks than a quarter (1/wideFraction) of those
+// that the service's workers can run at a time. A wide step cannot run at once, and its own work is
+// no reason to refuse it.
 const wideFraction = 4
 
-// wait is the longest time for which one of the job's first tasks has to wait for room; ok
-// is false when there is a task that no worker may run. The job's other tasks count as work
-// before it, unless the job is kept or wide.
+// queueWait returns the longest time that one of the job's ready tasks has to wait for capacity. It
+// returns false when no worker may run one of the tasks. The other ready tasks of the job count as
+// work ahead, unless the job is durable or the step is wide.
 func (c *Coordinator) queueWait(now time.Duration, j *job) (worst time.Duration, ok bool) {
 	if !j.Durable && c.executors.fitsAll(now, j.readyTasks()) {
-		return 0, true // most jobs; the copy below is what costs
+		return 0, true // the case of most jobs; it avoids the cost of the copy below
 	}
 	trial := &c.trial
 	c.executors.copyTo(trial)
@@ -95,16 +96,16 @@
 }
 
 const (
-	// returnShare is the part of its room that a daemon counts on for callers that come back.
-	// New callers take the rest: with more of it some that come back would be refused again, with
-	// less they would wait for longer than they have to.
+	// retryShare is the part of a daemon's share of the capacity that is planned for retries of
+	// refused callers. New callers take the rest. With a higher value some retries would be
+	// refused again; with a lower one callers would wait longer than they have to.
 	retryShare = 0.25
-	// maxRetryAfter bounds the time after which a refused caller is told to come back.
+	// maxRetryAfter bounds the time after which a refused caller is told to retry.
 	maxRetryAfter = 5 * time.Second
 )
 
-// comeBack is when a refused caller may come back: after those that were refused before it.
-// Were all of a burst told the same time, they would be the next burst.
+// scheduleRetry returns the time after which a refused caller may retry: after the callers that were
+// refused before it. If all callers of a burst got the same time, their retries would be the next burst.
 func (c *Coordinator) scheduleRetry(now time.Duration, j *job, minimum time.Duration) time.Duration {
 	var work int64
 	for _, s := range j.Steps {
@@ -120,21 +121,21 @@
 	return after
 }
 
-// beganToRun notes that a task has found room.
+// taskStarted notes that a task runs and needs no reserved capacity any more.
 func (c *Coordinator) taskStarted(t *jobTask) {
 	t.waiting = false
 	c.unreserve(t)
 }
 
-// assembledShare is the part of the workers, in quarters, that has to be known before jobs
-// are judged by what is known.
+// knownQuarters is the part of the expected workers, in quarters, that executors have to report
+// before jobs are refused for want of capacity.
 const knownQuarters = 3
 
-// ExpectWorkers tells how many workers executors are about to tell of, after a start; 0: all that
-// there are have been told of. Until most are known, jobs without room are not refused but
-// parked for a moment: after a loss of power of all daemons workers are taken over one by
-// one, within some hundred milliseconds, and the first few would be all the room there is
-// for callers who come back all at once.
+// ExpectWorkers sets how many workers executors will report after a start; 0: they have reported all
+// workers. Until most workers are known, jobs without capacity are parked for a moment and not
+// refused: after a power loss of all daemons, the workers are taken over one by one within some
+// hundred milliseconds, while all callers retry at once. Judged by the first few workers alone,
+// most of these callers would be refused.
 func (c *Coordinator) ExpectWorkers(workers int) { c.expectedWorkers = workers }
 
 func (c *Coordinator) awaitingWorkers(now time.Duration) bool {
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -12,92 +12,98 @@
 )
 
 const (
-	// lostWait is how long a task whose executor is gone may stay unresolved: by then a
-	// successor has taken its workers over, or none will in time for the caller.
+	// lostTaskTimeout is how long a task whose executor is unreachable may stay unresolved. By then
+	// a successor has taken over the executor's workers, or none will in time for the caller.
 	lostTaskTimeout = 600 * time.Millisecond
-	// successionMemory is how long a takeover without a token counts as news of a loss that this
-	// daemon notices later: daemons notice the same silence within a heartbeat or two of each other.
+	// takeoverRetention is how long a takeover without a token counts for a loss that this daemon
+	// notices later. Daemons notice the same loss within one or two heartbeats of each other.
 	takeoverRetention = 2 * time.Second
-	// maxOffers bounds the tries to place one task.
+	// maxOffers bounds the number of offers of one task.
 	maxOffers = 12
-	// maxRoomOffers is how often a task is offered to executors that told of room for it, one
-	// after the other, before it waits at one of them. Each costs a round trip.
+	// maxImmediateOffers is how many executors with free capacity, one after the other, are offered
+	// a task for an immediate start before it queues at one of them. Each offer costs a round trip.
 	maxImmediateOffers = 4
-	// maxPark bounds the wait of a job for any worker at all; a quarter of its time does too.
+	// maxParkTime bounds how long a job waits for workers to become known. A quarter of the time to
+	// its deadline bounds the wait too.
 	maxParkTime = 700 * time.Millisecond
-	// minCrashes is how many workers have to go down with a task at least before its job is
-	// given up: one or two may by chance.
+	// minCrashes is the least number of workers that have to crash while running a task before its
+	// job is given up: one or two may crash by chance.
 	minCrashes = 3
-	// minRetryAfter is the least time after which a refused caller is told to come back.
+	// minRetryAfter is the shortest time after which a refused caller is told to retry.
 	minRetryAfter = 500 * time.Millisecond
 )
 
-// Message is for an executor: one of its fields is set.
+// Message is addressed to one executor. One field beside To is set; Confirm belongs to Withdraw.
 type Message struct {
 	To member.Process
-	// Offer hands over tasks.
+	// Offer hands tasks to the executor.
 	Offer []task.Task
-	// Withdraw takes tasks back; with Confirm, the executor reports each when it is over.
+	// Withdraw takes tasks back. With Confirm, the executor reports each task once it holds and runs
+	// nothing of it.
 	Withdraw []task.ID
 	Confirm  bool
 	// Claims answers a takeover.
 	Claims *executor.Claims
-	// Reclaim asks for tasks that still wait: each is reported as not run.
+	// Reclaim asks for queued tasks: the executor reports each as not run.
 	Reclaim []task.ID
-	// WithdrawDurable takes tasks of kept jobs back, but ends are held until they are settled.
+	// WithdrawDurable takes back tasks of durable jobs. The executor retains their completion
+	// records until it is told that they are stored.
 	WithdrawDurable []task.ID
-	// Reserve asks to be told of room for tasks that wait elsewhere; Unreserve takes that back.
+	// Reserve asks the executor to reserve capacity for tasks that are queued elsewhere and to report
+	// when it has some. Unreserve drops such requests and reservations.
 	Reserve   []task.Task
 	Unreserve []task.ID
-	// ConfirmStored lists ends that are stored.
+	// ConfirmStored lists runs whose completions are stored: the executor may acknowledge them.
 	ConfirmStored []task.RunRef
-	// Superseded lists ends that came too late: their tasks have been started again.
+	// Superseded lists runs whose completions came too late: their tasks have been started again.
 	Superseded []task.RunRef
-	// Reconcile lists kept jobs of which tasks are out of sight.
+	// Reconcile lists durable jobs with lost tasks: the executor reports which of their runs it has.
 	Reconcile []string
 }
 
-// Output is what the embedder has to carry out. Messages to one executor have to arrive
-// in their order: a withdrawal that overtakes its offer would leave the task running.
+// Output is what the embedder has to carry out. It has to deliver the messages to one executor in
+// their order: a withdrawal that overtakes its offer would leave the task running.
 type Output struct {
 	Messages []Message
 	Answers  []Answer
 	Events   []executor.Event
-	// ProgressChanged lists kept jobs whose progress has to be stored.
+	// ProgressChanged lists durable jobs whose progress has to be stored.
 	ProgressChanged []string
-	// Stopped lists jobs that have ended here before, and of which surely nothing runs any more.
+	// Stopped lists jobs that ended here earlier and of which no run can be left on any executor.
 	Stopped []string
 }
 
-// Coordinator brings jobs to their answers. It is not safe for concurrent use.
+// Coordinator runs the jobs of one daemon's callers. It is not safe for concurrent use.
 type Coordinator struct {
 	self      member.Process
 	jobs      map[string]*job
 	executors executors
-	// plan is a copy of the rooms that each job without room is tried out in.
+	// trial is a copy of executors in which the placement of a job's tasks is simulated.
 	trial executors
 	out   Output
-	// takenOver holds, for a lost executor, its workers that no successor has taken over yet,
-	// with the tokens of its tenures.
+	// awaitingTakeover holds, for each lost executor, its workers that no successor has taken over
+	// yet, with the fencing tokens of its holding epochs.
 	awaitingTakeover map[member.Process]map[string]uint64
-	// successors holds the latest takeover of each worker.
+	// latestTakeovers holds the latest takeover of each worker.
 	latestTakeovers map[string]takeover
-	// histories holds what is to be settled of kept jobs, until their ends are stored.
+	// durableStates holds the completions and withdrawals of durable jobs that wait for the job's
+	// progress or end to be stored.
 	durableStates map[string]*durableState
-	// held: tasks of kept jobs are not offered, as this daemon may have lost its title to them.
+	// durablePaused: tasks of durable jobs are not offered, as this daemon may have lost the
+	// ownership record of the jobs.
 	durablePaused bool
-	// pressures is what was done about the load, by service and band.
+	// retrySchedules spreads out the retries of refused callers, by service and band.
 	retrySchedules map[band]*retrySchedule
 	shares         shares
-	// expected is how many workers there are while executors have not told of most; else 0.
+	// expectedWorkers is the number of workers, while executors have not reported most of them; else 0.
 	expectedWorkers int
-	// undecided are takeovers that wait for news of a task.
+	// pendingTakeovers are takeovers whose answer waits for a report on a task.
 	pendingTakeovers []pendingTakeover
-	// endings are jobs that are over here, by identifier.
+	// stopping holds jobs that have ended here and whose runs may not have stopped, by job identifier.
 	stopping map[string]stoppingJob
 }
 
-// New returns a coordinator of the given process.
+// New returns the coordinator of the process self.
 func New(self member.Process) *Coordinator {
 	return &Coordinator{self: self, jobs: make(map[string]*job), awaitingTakeover: make(map[member.Process]map[string]uint64), latestTakeovers: make(map[string]takeover), durableStates: make(map[string]*durableState), retrySchedules: make(map[band]*retrySchedule), stopping: make(map[string]stoppingJob)}
 }
@@ -109,16 +115,16 @@
 	return o
 }
 
-// UpdateExecutor takes what an executor tells of its workers.
+// UpdateExecutor replaces what the executor reported of its workers before.
 func (c *Coordinator) UpdateExecutor(h ExecutorState) { c.executors.update(h) }
 
-// JobCount returns the number of jobs without an answer.
+// JobCount returns the number of jobs that have no answer yet.
 func (c *Coordinator) JobCount() int { return len(c.jobs) }
 
-// Has reports whether the job is under way here.
+// Has reports whether the coordinator runs the job and has not answered it yet.
 func (c *Coordinator) Has(id string) bool { return c.jobs[id] != nil }
 
-// Submit takes a job. Its answer comes through Drain, at once where it is refused.
+// Submit starts a job. Its answer comes through Drain; a refusal comes with the next Drain.
 func (c *Coordinator) Submit(now time.Duration, j Job) {
 	n := newJob(now, j)
 	c.jobs[j.ID] = n
@@ -131,9 +137,9 @@
 	c.admit(now, n)
 }
 
-// admit releases a job or refuses it. Without any worker, or while most are not known yet,
-// it is parked for a moment: after a restart of the fleet workers are taken over within
-// some hundred ms, and a refused caller doesn't come back.
+// admit starts a job or refuses it. It parks the job for a moment while no worker is known, or while
+// most expected workers are not known yet: after a restart of the fleet daemons take the workers
+// over within some hundred ms, and a refused caller may not retry.
 func (c *Coordinator) admit(now time.Duration, j *job) {
 	v := c.checkCapacity(now, j)
 	j.parked = now < j.parkedUntil && (v.reason == ReasonNoWorkers || v.reason == ReasonNoCapacity && c.awaitingWorkers(now))
@@ -146,7 +152,7 @@
 	}
 }
 
-// release offers the tasks whose turn has come.
+// release offers the tasks whose preceding steps are done.
 func (c *Coordinator) release(now time.Duration, j *job) {
 	for _, t := range j.tasks {
 		if t.state == blocked && j.ready(t.ID.Step) {
@@ -158,7 +164,7 @@
 	}
 }
 
-// offer places one task.
+// offer offers one task to an executor, or postpones it, or gives its job up.
 func (c *Coordinator) offer(now time.Duration, j *job, t *jobTask) {
 	if j.Durable {
 		if c.durablePaused {
@@ -167,7 +173,7 @@
 		}
 		t.StartBy = now + durableOfferTimeout
 	}
-	t.OverShare = j.overShare && !j.mayHaveRun // what has begun is finished, or the work is lost
+	t.OverShare = j.overShare && !j.mayHaveRun // tasks of a started job do not wait behind others: its finished work would be lost
 	h, hasCapacity := c.chooseExecutor(now, t)
 	switch {
 	case h == nil && j.Durable:
@@ -202,7 +208,7 @@
 	m.Offer = append(m.Offer, t.Task)
 }
 
-// HandleReport takes an executor's report.
+// HandleReport handles an executor's report on a task.
 func (c *Coordinator) HandleReport(now time.Duration, from member.Process, r task.Report) {
 	if len(c.pendingTakeovers) > 0 {
 		defer c.answerPending(now)
@@ -221,7 +227,7 @@
 		c.handleLateReport(now, from, j, t, r)
 		return
 	}
-	t.Run = r.Run // an executor may raise the number where a worker has seen it
+	t.Run = r.Run // an executor raises the number if a worker has seen it already
 	c.recordCompletion(j, from, r)
 	switch r.Outcome {
 	case task.Started:
@@ -238,7 +244,7 @@
 		c.taskNotRun(now, j, t, r)
 	case task.Moved:
 		j.mayHaveRun = true
-		if r.Token > 0 || r.Worker != t.worker { // who doesn't hold it can't tell
+		if r.Token > 0 || r.Worker != t.worker { // only the worker's holder can report that
 			t.worker, t.token = r.Worker, r.Token
 		}
 		c.markLost(now, t)
@@ -268,7 +274,8 @@
 	c.restart(now, j, t, r)
 }
 
-// restart offers a task again whose run is proved over, unless it can't end in time.
+// restart offers a task again whose last run is proved over. It gives the job up if the task can no
+// longer complete in time.
 func (c *Coordinator) restart(now time.Duration, j *job, t *jobTask, r task.Report) {
 	t.state, j.mayHaveRun = blocked, true
 	c.event("task_restarted", t, fmt.Sprintf("outcome=%s reason=%s failures=%d", r.Outcome, r.Reason, t.failures))
@@ -285,9 +292,10 @@
 	c.offer(now, j, t)
 }
 
-// crashed counts a run that went down with its worker, and gives the job up with the last that
-// the queue allows: a task that brings down whatever runs it would take one worker after the
-// other. A kept job is tried on, as such ends don't count as its failures.
+// countCrash counts a run that ended because its worker crashed, and reports whether it gave the job
+// up. It does so when the count reaches the attempts that the queue allows, or minCrashes if those are
+// fewer: a task that crashes every worker that runs it would otherwise take down one worker after the
+// other. It does not give up durable jobs, as such ends do not count as failures of their tasks.
 func (c *Coordinator) countCrash(now time.Duration, j *job, t *jobTask, r task.Report) bool {
 	switch r.Reason {
 	case executor.ReasonWorkerDied, executor.ReasonWorkerRestarted, executor.ReasonWorkerRemoved:
@@ -314,13 +322,13 @@
 			h.markFull(&t.Task)
 		case executor.ReasonLaterEpoch:
 			if h.maxEpoch <= t.MaxEpoch {
-				h.markUnavailable() // it would give it back again, until its next word
+				h.markUnavailable() // it would give the task back again until its next report
 			}
 		}
 	}
 	c.event("task_offered_again", t, r.Reason)
 	if j.Durable && r.Reason != executor.ReasonNoCapacity {
-		c.postpone(now, t) // the same executor would give it back at once
+		c.postpone(now, t) // if offered at once, the same executor would give it back again
 		return
 	}
 	c.offer(now, j, t)
@@ -330,7 +338,7 @@
 	c.out.Events = append(c.out.Events, executor.Event{Name: name, ID: t.ID, Run: t.Run, Worker: t.worker, Detail: detail})
 }
 
-// lose marks a task whose run nobody known looks after.
+// markLost marks a task whose run no known executor looks after.
 func (c *Coordinator) markLost(now time.Duration, t *jobTask) {
 	t.state = lost
 	t.lostDeadline = now + lostTaskTimeout
@@ -346,7 +354,7 @@
 	return nil
 }
 
-// Tick lets time pass: deadlines and lost tasks.
+// Tick checks deadlines, lost tasks and pending takeovers, and moves queued tasks to free capacity.
 func (c *Coordinator) Tick(now time.Duration) {
 	for _, j := range c.sortedJobs() {
 		if j.parked {
@@ -372,7 +380,7 @@
 	c.rebalance(now)
 }
 
-// sorted returns the jobs in a repeatable order.
+// sortedJobs returns the jobs in a reproducible order: by submission time, then by identifier.
 func (c *Coordinator) sortedJobs() []*job {
 	list := make([]*job, 0, len(c.jobs))
 	for _, j := range c.jobs {
--- a/coordinator/ending.go
+++ b/coordinator/ending.go
@@ -8,27 +8,29 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// endingWait is how long after an executor is out of sight, or has lost a worker to another one,
-// a run that it was to stop is surely over: it notices the loss of its coordinator up to 0.3 s
-// later and stops the run, or its lease of 0.8 s lapses; another holder stops what nobody claims
-// within 0.3 s.
+// maxStopTime is how long a run that an executor was to stop may still run after the executor became
+// unreachable or lost the worker to another executor. An unreachable executor notices the loss of its
+// coordinator up to 0.3 s later and stops the run, or its lease of 0.8 s lapses. A new holder of the
+// worker stops runs that nobody claims within 0.3 s.
 const maxStopTime = 1500 * time.Millisecond
 
-// untilCleared is the end of a wait for an executor's word.
+// untilQuiescent waits, without a time-out, for an executor to confirm quiescence.
 const untilQuiescent = time.Duration(math.MaxInt64)
 
-// ending is a job that is over here, while executors have not told that its runs are.
+// stoppingJob holds the tasks of a job that has ended here whose executors have not yet confirmed that
+// their runs are over.
 type stoppingJob map[task.ID]stoppingTask
 
-// endingTask is a task that was taken back from its executor.
+// stoppingTask is a task that was withdrawn from its executor.
 type stoppingTask struct {
 	holder member.Process
 	run    uint32
-	// overBy is when it is surely over, where the executor can't tell; 0 while it can.
+	// stoppedBy is when the run is certainly over although the executor cannot confirm it; 0 while the
+	// executor can.
 	stoppedBy time.Duration
 }
 
-// Cancel ends a job whose caller has gone or doesn't want it any more: what runs is stopped.
+// Cancel ends a job whose caller disconnected or canceled it. It withdraws the job's tasks and emits no answer.
 func (c *Coordinator) Cancel(now time.Duration, id string) {
 	if j := c.jobs[id]; j != nil {
 		c.withdraw(now, j)
@@ -36,11 +38,11 @@
 	}
 }
 
-// IsStopping reports whether something may still run of a job that is over here. Its end is told by
-// Output.Stopped.
+// IsStopping reports whether runs may be left of a job that has ended here. Output.Stopped lists the
+// job once none is left.
 func (c *Coordinator) IsStopping(id string) bool { return c.stopping[id] != nil }
 
-// endingReported takes an executor's word on a task that was taken back from it.
+// handleStopReport handles an executor's report on a task that was withdrawn from it.
 func (c *Coordinator) handleStopReport(now time.Duration, from member.Process, r task.Report) {
 	e := c.stopping[r.ID.Job]
 	t, ok := e[r.ID]
@@ -64,8 +66,9 @@
 	}
 }
 
-// AwaitQuiescence reports whether an executor that was lost, and is back, may still run something of a
-// job that is over here. Until HandleQuiescence its word is waited for, and not the time.
+// AwaitQuiescence reports whether an executor that was lost, and is reachable again, may still run
+// tasks of jobs that have ended here. These tasks then no longer end by time-out: they wait for
+// HandleQuiescence.
 func (c *Coordinator) AwaitQuiescence(p member.Process) bool {
 	found := false
 	for _, e := range c.stopping {
@@ -79,8 +82,8 @@
 	return found
 }
 
-// HandleQuiescence takes the word of an executor that was lost, and is back, that nothing of what it ran
-// for this coordinator before runs any more.
+// HandleQuiescence handles the confirmation of an executor that was lost, and is reachable again, that
+// it runs nothing any more that this coordinator gave it before the loss.
 func (c *Coordinator) HandleQuiescence(p member.Process) {
 	for job, e := range c.stopping {
 		for id, t := range e {
@@ -92,7 +95,7 @@
 	}
 }
 
-// endingsLost notes that an executor can't tell of its runs any more.
+// startStopTimeout bounds the wait for the runs of an executor that cannot report on them any more.
 func (c *Coordinator) startStopTimeout(now time.Duration, p member.Process) {
 	for _, e := range c.stopping {
 		for id, t := range e {
@@ -103,7 +106,7 @@
 	}
 }
 
-// tickEndings ends what is surely over by now.
+// tickStopping removes the tasks whose runs are certainly over by now.
 func (c *Coordinator) tickStopping(now time.Duration) {
 	for job, e := range c.stopping {
 		for id, t := range e {
@@ -115,8 +118,8 @@
 	}
 }
 
-// giveUp ends a job that can't be answered well: as refused where it is certain that no
-// task has run or will.
+// giveUp ends a job that cannot be completed in time. It answers Refused where it is certain that no
+// task has run or will run, and GivenUp otherwise.
 func (c *Coordinator) giveUp(now time.Duration, j *job, reason Reason) {
 	status := GivenUp
 	if !j.mayHaveRun && !j.outstanding() {
@@ -125,7 +128,7 @@
 	c.answer(now, j, status, reason, minRetryAfter)
 }
 
-// outstanding reports whether an executor may still start a task.
+// outstanding reports whether an executor may have a task of the job, and may start it.
 func (j *job) outstanding() bool {
 	for _, t := range j.tasks {
 		if t.state == offered || t.state == lost {
@@ -156,8 +159,8 @@
 	delete(c.jobs, j.ID)
 }
 
-// withdraw takes back what executors have of a job. Of one that isn't kept they tell when it is
-// over, as its caller may have sent it to another daemon.
+// withdraw takes the job's tasks back from executors. Unless the job is durable, the executors report
+// when its runs are over, as its caller may have submitted it again at another daemon.
 func (c *Coordinator) withdraw(now time.Duration, j *job) {
 	byHolder := make(map[member.Process]int)
 	for _, t := range j.tasks {
@@ -175,8 +178,8 @@
 	}
 }
 
-// noteEnding waits for the end of a task that is taken back. Where its executor is lost, or has
-// lost its worker, its word says nothing.
+// trackStop waits until the run of a withdrawn task is over. It waits for a time instead of a report
+// where the executor is lost, or has lost the worker: its report would prove nothing.
 func (c *Coordinator) trackStop(now time.Duration, j *job, t *jobTask) {
 	if j.Durable {
 		return
--- a/coordinator/job.go
+++ b/coordinator/job.go
@@ -8,59 +8,58 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// Job is a caller's request.
+// Job is a caller's request: steps of tasks that run on the workers of one service.
 type Job struct {
 	ID      string
 	Service string
-	// Queue names the queue that the job came by; empty where queues aren't told apart.
+	// Queue names the queue that the job was submitted to; empty where queues are not distinguished.
 	Queue   string
 	Payload string
 	Steps   []Step
-	// Attempts is how often a task may fail before the job has failed.
+	// Attempts is how many runs of one task may fail: the last of them fails the job.
 	Attempts int
 	// Priority 0 is the most urgent.
 	Priority int
-	// Stretch and Target give the time within which the answer is on time: Stretch times
-	// the longest chain of work, and Target more.
+	// Stretch and Target give the time within which the answer is on time: Stretch times the
+	// expected time of the longest chain of steps, plus Target.
 	Stretch float64
 	Target  time.Duration
-	// Deadline is when the caller stops waiting, on the coordinator's clock; kept jobs
-	// have none.
+	// Deadline is when the caller stops waiting, on the coordinator's clock. Durable jobs have none.
 	Deadline time.Duration
 	// Durable jobs are stored: they have no deadline and are never given up.
 	Durable bool
-	// Progress is what was stored of a kept job by an earlier coordinator.
+	// Progress is what an earlier coordinator stored of a durable job.
 	Progress []Progress
 }
 
-// Step is a number of equal tasks.
+// Step is a number of equal tasks of a job.
 type Step struct {
 	Count           int
 	Demand          capacity.Vector
 	Label           string
 	ExpectedRunTime time.Duration
-	// After lists the steps, by place, that have to be done first.
+	// After lists the indexes of the steps that have to be done first.
 	After []int
-	// PerWorker is how many of the tasks may run on one worker; 0: any number.
+	// PerWorker limits how many of the tasks run on one worker at a time; 0: no limit.
 	PerWorker int
 }
 
-// Status is how a job ended.
+// Status is the kind of a job's answer.
 type Status uint8
 
-// Statuses.
+// The kinds of answers.
 const (
 	// Completed: all tasks are done.
 	Completed Status = iota + 1
-	// TaskFailed: a task has failed as often as it may.
+	// TaskFailed: all attempts of a task failed.
 	TaskFailed
-	// Refused: nothing of the job has run or ever will.
+	// Refused: no task of the job has run, and none will.
 	Refused
-	// GivenUp: the job may have run and will not be answered in time.
+	// GivenUp: tasks of the job may have run, and the job cannot be answered in time.
 	GivenUp
 )
 
-// String returns the status's name in logs and counters.
+// String returns the name of the status in logs and counters.
 func (s Status) String() string {
 	names := [...]string{"unknown", "completed", "task_failed", "refused", "given_up"}
 	if int(s) < len(names) {
@@ -69,88 +68,91 @@
 	return names[0]
 }
 
-// Reason says why a job was refused or given up, in logs and counters.
+// Reason is the cause of a refusal or of giving a job up, in logs and counters.
 type Reason string
 
-// Reasons.
+// The reasons for refusing jobs and giving them up.
 const (
 	ReasonNoWorkers  Reason = "no_workers"
 	ReasonNoCapacity Reason = "no_room"
-	// ReasonOverShare: there is no room, and the job is beyond the share of its queue and callers.
+	// ReasonOverShare: there is no free capacity, and the job exceeds the share of its queue and domain.
 	ReasonOverShare Reason = "beyond_share"
-	// ReasonDomainsRetired: all failure domains that the service has workers in are retired.
+	// ReasonDomainsRetired: all failure domains in which the service has workers are retired.
 	ReasonDomainsRetired Reason = "domains_retired"
 	ReasonDeadline       Reason = "deadline"
 	ReasonExecutorLost   Reason = "holder_lost"
 	ReasonTooLate        Reason = "too_late_to_restart"
-	// ReasonWorkersCrashed: workers went down with a task as often as it may fail.
+	// ReasonWorkersCrashed: as many workers crashed while running a task as its attempts allow.
 	ReasonWorkersCrashed Reason = "workers_crashed"
 	ReasonStopping       Reason = "stopping"
-	// ReasonNoStore: the store can't take a job that has to be kept.
+	// ReasonNoStore: the store cannot take a durable job.
 	ReasonNoStore Reason = "no_store"
-	// ReasonNotGranted: the right to start the job didn't come in time.
+	// ReasonNotGranted: the daemon did not get the right to start the job in time.
 	ReasonNotGranted Reason = "not_granted"
-	// ReasonCanceled: a caller canceled the job while another waited for it.
+	// ReasonCanceled: one caller canceled the job while another waited for its answer.
 	ReasonCanceled Reason = "canceled"
 )
 
-// Answer is the one answer of a job.
+// Answer ends a job. Each job gets exactly one.
 type Answer struct {
 	Job        string
 	Status     Status
 	Reason     Reason
 	RetryAfter time.Duration
-	// Waited is the time since the job came.
+	// Waited is the time since the job was submitted.
 	Waited time.Duration
 }
 
-// taskState is where a task is.
+// taskState is the coordinator's view of a task.
 type taskState uint8
 
 const (
-	// blocked: steps before it are not done.
+	// blocked: preceding steps are not done, or the task is about to be offered again.
 	blocked taskState = iota
-	// offered: an executor has it.
+	// offered: an executor has the task, queued or running.
 	offered
-	// lost: the executor that had it is gone or lost the worker; the run may go on.
+	// lost: the executor that had the task is unreachable or lost the worker; the run may continue.
 	lost
 	done
-	// deferred: there was no place for a kept task; it is offered again in a moment.
+	// deferred: no executor could take a durable task; it is offered again at offerAt.
 	deferred
 )
 
-// jobTask is a task of a job.
+// jobTask is a task of a job, with its run and its placement.
 type jobTask struct {
 	task.Task
 	state  taskState
 	holder member.Process
-	// worker is where it runs, as far as is known, and token that of the tenure; 0: not known.
+	// worker runs the task, as far as is known; token is the fencing token of the holding epoch in
+	// which it was started; 0: not known.
 	worker string
 	token  uint64
-	// waiting: it was offered without room for it; reclaiming: it was asked for back.
+	// waiting: the executor had no free capacity when the task was offered; reclaiming: the executor
+	// was asked to give it back.
 	waiting, reclaiming bool
-	// failures counts runs that failed, offers all tries.
+	// failures counts failed runs, offers counts all offers.
 	failures, offers int
-	// begun is the number of the latest run before Run that may have begun; unbegun: Run surely
-	// has not.
+	// previousStarted is the number of the latest run before Run that may have started; notStarted:
+	// Run itself is proved not to have started.
 	previousStarted uint32
 	notStarted      bool
-	// crashes counts runs that ended as their worker went down.
+	// crashes counts runs that ended because their worker crashed.
 	crashes    int
 	failedRuns []uint32
-	// adopted: an earlier coordinator may have started runs that this one doesn't know of.
+	// unknownRuns: an earlier coordinator may have started runs that this one does not know of.
 	unknownRuns bool
-	// reserved are executors that are to tell of room for it; movesTo has told, and is offered it
-	// once the one where it waits has given it back.
+	// reservedAt lists executors that were asked to reserve capacity for the task. moveTo has
+	// reserved some: the task is offered to it once the executor at which it is queued gives it back.
 	reservedAt []member.Process
 	moveTo     member.Process
-	// lostBy is when a lost task is given up, or a kept one surely over.
+	// lostDeadline is when the job of a lost task is given up, or when the run of a durable one is
+	// certainly over.
 	lostDeadline time.Duration
 	// offerAt is when a deferred task is offered again.
 	offerAt time.Duration
 }
 
-// latest is the number of the latest run that may have begun.
+// latestStarted returns the number of the latest run that may have started.
 func (t *jobTask) latestStarted() uint32 {
 	if t.notStarted {
 		return t.previousStarted
@@ -164,21 +166,21 @@
 	submittedAt time.Duration
 	due         time.Duration
 	tasks       []*jobTask
-	// left counts the tasks of each step that are not done.
+	// remaining counts the tasks of each step that are not done.
 	remaining []int
 	// mayHaveRun is set once a worker may have started a task.
 	mayHaveRun bool
 	ended      bool
-	// surplus: it is beyond the share of its queue and callers.
+	// overShare: the job exceeds the share of its queue and domain.
 	overShare bool
-	// parked jobs wait for a worker until parkedTo.
+	// parked jobs wait for workers to become known until parkedUntil.
 	parked      bool
 	parkedUntil time.Duration
-	// recallAt is when executors are asked again for the lost tasks of a kept job.
+	// reconcileAt is when executors are asked again for the lost tasks of a durable job.
 	reconcileAt time.Duration
 }
 
-// newJob lays out the tasks.
+// newJob returns a job with the tasks of all its steps.
 func newJob(now time.Duration, j Job) *job {
 	n := &job{Job: j, submittedAt: now, remaining: make([]int, len(j.Steps))}
 	n.due = now + time.Duration(j.Stretch*float64(longestChain(j.Steps))) + j.Target
@@ -195,8 +197,8 @@
 	return n
 }
 
-// longestChain returns the expected time of the longest chain of steps. Steps depend on
-// earlier ones only.
+// longestChain returns the sum of the expected times along the longest chain of steps. A step
+// depends on earlier ones only.
 func longestChain(steps []Step) time.Duration {
 	ends := make([]time.Duration, len(steps))
 	var longest time.Duration
@@ -210,7 +212,7 @@
 	return longest
 }
 
-// ready reports whether the steps before s are done.
+// ready reports whether all steps before step s are done.
 func (j *job) ready(s uint32) bool {
 	for _, a := range j.Steps[s].After {
 		if j.remaining[a] > 0 {
@@ -229,7 +231,7 @@
 	return nil
 }
 
-// firstTasks returns the tasks whose turn has come.
+// readyTasks returns the tasks whose preceding steps are done.
 func (j *job) readyTasks() (list []*task.Task) {
 	for _, t := range j.tasks {
 		if j.ready(t.ID.Step) {
--- a/coordinator/kept.go
+++ b/coordinator/kept.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// orphanWait is how long after this daemon has lost sight of a run, or has adopted its
-	// job, the run is surely over, if nobody has told of it: its executor notices within a
-	// second that its coordinator is silent, keeps the run for executor.OrphanTimeout in case
-	// it is claimed, and its lease ends within another second. An earlier owner that is
-	// only cut off finds out within titleAge of the node that its title is gone, and the
-	// lease of what it ran ends after that.
+	// orphanTimeout is how long after this daemon lost contact with a run, or took its job over, the
+	// run is certainly over if no executor has reported it. The run's executor notices within a second
+	// that its coordinator is unreachable, keeps the run for executor.OrphanTimeout in case that it is
+	// claimed, and its lease ends within another second. An earlier owner of the job that is only cut
+	// off notices that its ownership record is gone as soon as the node's last confirmation of the record
+	// is too old; the lease of its runs ends after that.
 	orphanTimeout = 3200 * time.Millisecond
-	// recallEvery is the time between questions to executors about lost tasks.
+	// reconcileInterval is the time between two requests to executors for lost tasks.
 	reconcileInterval = 500 * time.Millisecond
-	// releaseWait is the time for two questions to executors and their answers.
+	// resumeWait is the time for two reconciliation requests and their replies.
 	resumeWait = 2*reconcileInterval + 100*time.Millisecond
-	// keptOfferTime is how long a task of a kept job waits at one executor before it is
-	// offered anew: room may have come elsewhere.
+	// durableOfferTimeout is how long a task of a durable job is queued at one executor before it is
+	// offered again: another executor may have free capacity by then.
 	durableOfferTimeout = time.Second
-	// postponeTime is the pause before a kept task is offered again that found no place.
+	// postponeTime is the delay until a durable task that no executor could take is offered again.
 	postponeTime = 100 * time.Millisecond
-	// inheritedRuns is added to the number of the last stored run of an adopted task: its
-	// earlier coordinator may have ordered some more that are not stored.
+	// takeoverRunGap is added to the number of the last stored run of a task when its job is taken
+	// over: the earlier coordinator may have started further runs that are not stored.
 	takeoverRunGap = 1000
-	// keptPatience bounds the wait before a kept job begins, in multiples of the time
-	// within which it is on time: an answer later than that is worth nothing.
+	// durableWaitFactor bounds the wait before a durable job starts, in multiples of the time within
+	// which its answer is on time: a later answer is worth nothing.
 	durableWaitFactor = 2
 )
 
-// Progress is what is stored of a task.
+// Progress is the stored progress of one task of a durable job.
 type Progress struct {
 	Done bool
 	// FailedRuns are the numbers of the runs that failed.
@@ -42,32 +42,33 @@
 	LastRun uint32
 }
 
-// history is what has to be settled of a kept job.
+// durableState is what waits for the progress or the end of a durable job to be stored.
 type durableState struct {
-	// version counts changes of the progress.
+	// version counts the changes of the progress.
 	version     uint64
 	completions []unacknowledgedCompletion
-	// left lists what executors have of a job that has ended; they drop it when the end is
-	// stored.
+	// withdrawals take back what executors have of a job that has ended. They are sent when the end
+	// is stored.
 	withdrawals []Message
 }
 
-// heldEnd is an end that an executor holds back until it is stored.
+// unacknowledgedCompletion is a completion that an executor does not acknowledge to the worker
+// before it is stored.
 type unacknowledgedCompletion struct {
 	holder  member.Process
 	run     task.RunRef
 	version uint64
 }
 
-// CheckAdmission decides whether a job that would be kept is better refused: with the time to
-// come back.
+// CheckAdmission decides whether to refuse a job before it is stored as durable. It returns the
+// reason and the time after which the caller may retry; no reason admits the job.
 func (c *Coordinator) CheckAdmission(now time.Duration, j Job) (Reason, time.Duration) {
 	n := newJob(now, j)
 	wait, ok := c.queueWait(now, n)
 	maxWait := durableWaitFactor * (n.due - now)
 	switch {
 	case !ok && c.executors.hasService(j.Service):
-		return ReasonNoWorkers, minRetryAfter // there are workers, but none that may run it
+		return ReasonNoWorkers, minRetryAfter // the service has workers, but none that may run a task of the job
 	case wait > maxWait:
 		return ReasonNoCapacity, max(wait-maxWait, minRetryAfter)
 	default:
@@ -75,8 +76,8 @@
 	}
 }
 
-// keep takes a stored job. Tasks that an earlier coordinator may have started are out of
-// sight at first.
+// submitDurable starts a stored job. Tasks that an earlier coordinator may have started are lost at
+// first.
 func (c *Coordinator) submitDurable(now time.Duration, j *job) {
 	c.durableStates[j.ID] = &durableState{}
 	for i, p := range j.Progress {
@@ -99,7 +100,7 @@
 	c.release(now, j)
 }
 
-// finished ends a job of which nothing is left.
+// answerIfDone answers a job all of whose tasks are done, and reports whether it did.
 func (c *Coordinator) answerIfDone(now time.Duration, j *job) bool {
 	for _, n := range j.remaining {
 		if n > 0 {
@@ -110,12 +111,13 @@
 	return true
 }
 
-// postpone puts a kept task off for a moment.
+// postpone defers a durable task: Tick offers it again after postponeTime.
 func (c *Coordinator) postpone(now time.Duration, t *jobTask) {
 	t.state, t.offerAt, t.holder = deferred, now+postponeTime, member.Process{}
 }
 
-// tickKept offers what was put off and looks for what is out of sight.
+// tickDurable offers the deferred tasks of a durable job, restarts lost tasks whose runs are
+// certainly over, and asks executors for the other lost tasks.
 func (c *Coordinator) tickDurable(now time.Duration, j *job) {
 	missing := false
 	for _, t := range j.tasks {
@@ -139,7 +141,7 @@
 	}
 }
 
-// recall asks all executors about a job.
+// reconcile asks all executors for their runs of a job.
 func (c *Coordinator) reconcile(id string) {
 	for _, h := range c.executors.list {
 		m := c.messageTo(h.Process, func(m *Message) bool { return m.Reconcile != nil })
@@ -147,7 +149,7 @@
 	}
 }
 
-// changed asks for the job's progress to be stored.
+// progressChanged asks the embedder to store the job's progress.
 func (c *Coordinator) progressChanged(j *job) {
 	if d := c.durableStates[j.ID]; d != nil {
 		d.version++
@@ -155,7 +157,7 @@
 	}
 }
 
-// begun notes that a task of the job has started.
+// markStarted notes that a task of the job has started. The first start of a durable job is stored.
 func (c *Coordinator) markStarted(j *job) {
 	if j.Durable && !j.mayHaveRun {
 		j.mayHaveRun = true
@@ -163,7 +165,7 @@
 	}
 }
 
-// note keeps in mind that an end is held back at its executor until it is stored.
+// recordCompletion remembers a completion that its executor holds back until it is stored.
 func (c *Coordinator) recordCompletion(j *job, from member.Process, r task.Report) {
 	if !j.Durable || r.Outcome != task.Done && r.Outcome != task.Failed {
 		return
@@ -173,27 +175,29 @@
 	d.completions = append(d.completions, unacknowledgedCompletion{from, task.RunRef{ID: r.ID, Run: r.Run}, d.version})
 }
 
-// reportedLate takes a report on a task that is not at that executor any more, as far as
-// was known.
+// handleLateReport handles a report on a task that, as far as is known, is not at that executor any
+// more.
 func (c *Coordinator) handleLateReport(now time.Duration, from member.Process, j *job, t *jobTask, r task.Report) {
 	switch {
 	case t == nil || !t.Durable:
 	case t.state == done && r.Outcome == task.Done && r.Run < t.latestStarted():
 		c.supersede(from, r.ID, r.Run)
 	case t.state == done && r.Outcome == task.Done:
-		c.recordCompletion(j, from, r) // an end that was known before is settled with the others
+		c.recordCompletion(j, from, r) // a completion that was known before is confirmed with the others
 	case t.state == lost && t.holder == from && t.Run == r.Run && r.Outcome == task.NotRun:
 		c.taskNotRun(now, j, t, r)
 	}
 }
 
-// disregard tells an executor that a later run than one that was done may have begun since: the
-// earlier end may count for nothing, or the later run would be one of a task that was done.
+// supersede tells an executor that a later run of a task may have started since a run that
+// completed. The completion must count for nothing: otherwise the later run would be a run of a task
+// that is already done.
 func (c *Coordinator) supersede(from member.Process, id task.ID, run uint32) {
 	c.out.Messages = append(c.out.Messages, Message{To: from, Superseded: []task.RunRef{{ID: id, Run: run}}})
 }
 
-// keptEnded takes an end that was listed for an earlier holder or coordinator.
+// handleDurableCompletion handles a completion that a worker recorded for an earlier holder or an
+// earlier coordinator.
 func (c *Coordinator) handleDurableCompletion(now time.Duration, from member.Process, t *jobTask, workerID string, r task.RunningTask) {
 	j := c.jobs[r.ID.Job]
 	report := task.Report{ID: r.ID, Run: r.Run, Worker: workerID, Outcome: task.Terminated, Reason: "ended_out_of_sight"}
@@ -214,7 +218,7 @@
 		c.recordCompletion(j, from, report)
 		c.taskDone(now, j, t)
 	case t.unknownRuns:
-		// The earlier coordinator may have started a later run.
+		// The earlier coordinator may have started a later run: the task may not be restarted.
 		if r.Failed {
 			c.recordCompletion(j, from, report)
 			c.countFailure(now, j, t, r.Run)
@@ -230,8 +234,8 @@
 	}
 }
 
-// countFailure counts a failed run, each once, and ends the job with the last attempt; it
-// reports whether it did.
+// countFailure counts a failed run; a durable task's run counts once, however often it is reported.
+// It ends the job with the last attempt and reports whether it did.
 func (c *Coordinator) countFailure(now time.Duration, j *job, t *jobTask, run uint32) (ended bool) {
 	if j.Durable && slices.Contains(t.failedRuns, run) {
 		return false
@@ -244,7 +248,7 @@
 	return j.ended
 }
 
-// Progress returns the version of a kept job's progress and the progress itself; no tasks
+// Progress returns the version of a durable job's progress and the progress of its tasks; no tasks
 // when the job has ended.
 func (c *Coordinator) Progress(id string) (version uint64, tasks []Progress) {
 	if d := c.durableStates[id]; d != nil {
@@ -260,18 +264,18 @@
 	return version, tasks
 }
 
-// HasStarted reports whether a task of the job has started.
+// HasStarted reports whether a worker may have started a task of the job.
 func (c *Coordinator) HasStarted(id string) bool {
 	j := c.jobs[id]
 	return j != nil && j.mayHaveRun
 }
 
-// relinquish takes back what executors have of a job that has ended or is not to be run here:
-// what waits is dropped and what runs is stopped, but ends are held back still, as
-// another coordinator may have to learn of them.
+// withdrawRetaining takes back what executors have of a durable job that has ended or is not to run
+// here any more. Executors drop its queued tasks and stop its runs, but retain the completion
+// records, as another coordinator may have to read them.
 func (c *Coordinator) withdrawRetaining(j *job) {
 	first := len(c.out.Messages)
-	c.withdraw(0, j) // of kept jobs the time says nothing
+	c.withdraw(0, j) // for durable jobs the time is not used
 	for i := first; i < len(c.out.Messages); i++ {
 		m := &c.out.Messages[i]
 		m.WithdrawDurable, m.Withdraw = m.Withdraw, nil
@@ -281,8 +285,8 @@
 	}
 }
 
-// HandlePersisted tells that the progress of a kept job is stored up to a version; ended, that
-// its end is too. Executors may acknowledge the ends.
+// HandlePersisted handles the confirmation that the progress of a durable job is stored up to a
+// version and, if ended, that its end is stored too. Executors may then acknowledge the completions.
 func (c *Coordinator) HandlePersisted(id string, version uint64, ended bool) {
 	d := c.durableStates[id]
 	if d == nil {
@@ -304,8 +308,8 @@
 	}
 }
 
-// DropJob drops a kept job that is another daemon's now: what runs is stopped, and ends
-// are left for the other to learn.
+// DropJob drops a durable job that another daemon owns now. It stops the job's runs; their completion
+// records stay for the new owner.
 func (c *Coordinator) DropJob(id string) {
 	delete(c.durableStates, id)
 	if j := c.jobs[id]; j != nil {
@@ -314,7 +318,7 @@
 	}
 }
 
-// DropDurableJobs drops all kept jobs and leaves what runs for them to their heirs.
+// DropDurableJobs drops all durable jobs and leaves their runs to the daemons that take the jobs over.
 func (c *Coordinator) DropDurableJobs() {
 	for _, j := range c.sortedJobs() {
 		if j.Durable {
@@ -324,9 +328,9 @@
 	}
 }
 
-// PauseDurable stops the offering of kept tasks while it is uncertain that this daemon still owns
-// their jobs. Afterwards executors are asked first for what is out of sight: they may have
-// been so for all that time, with ends that were not told.
+// PauseDurable pauses the offering of durable tasks while it is uncertain whether this daemon still
+// owns their jobs, and resumes it. After the pause executors are asked first for the lost tasks: these
+// may have been lost for all that time, with completions that were not reported.
 func (c *Coordinator) PauseDurable(now time.Duration, paused bool) {
 	resumed := c.durablePaused && !paused
 	c.durablePaused = paused
@@ -342,8 +346,8 @@
 	}
 }
 
-// WithdrawDurable takes back all tasks of kept jobs: this daemon has not been able to tell for
-// too long whether it still owns them.
+// WithdrawDurable takes back all tasks of durable jobs. It is called when this daemon has for too
+// long been unable to confirm that it still owns the jobs.
 func (c *Coordinator) WithdrawDurable(now time.Duration) {
 	for _, j := range c.sortedJobs() {
 		if !j.Durable {
@@ -358,7 +362,7 @@
 	}
 }
 
-// EachDurableJob returns the kept jobs by whether a task of them has started.
+// EachDurableJob calls each for all durable jobs, with whether a worker may have started a task of the job.
 func (c *Coordinator) EachDurableJob(each func(id string, started bool)) {
 	for id, j := range c.jobs {
 		if j.Durable {
--- a/coordinator/paces.go
+++ b/coordinator/paces.go
@@ -10,35 +10,36 @@
 )
 
 const (
-	// minPaces is how many workers' paces tell what is usual.
+	// minSlowdownReports is the least number of workers whose median slowdown is used.
 	minSlowdownReports = 4
-	// usualAge is for how long the usual pace is used before it is found anew: paces are told with
-	// heartbeats.
+	// medianMaxAge is how long the computed median slowdowns are used. Executors report slowdowns with
+	// their heartbeats only.
 	medianMaxAge = 100 * time.Millisecond
-	// slowRatio is how many times as long as usual runs take on a worker that counts as slow;
-	// less is chance, or makes no task late.
+	// slowFactor is the slowdown, in multiples of the median one, from which on a worker counts as
+	// slow. A smaller difference is chance, or makes no task late.
 	slowFactor = 1.3
-	// paceMemory is how long a pace that a lost holder told is kept for the worker's next one.
+	// slowdownRetention is how long a slowdown that a lost executor reported is kept for the worker's
+	// next holder.
 	slowdownRetention = 30 * time.Second
 )
 
-// toldPace is what a holder told of a worker.
+// reportedSlowdown is what an executor reported of a worker.
 type reportedSlowdown struct {
 	slowdown   float64
 	reportedAt time.Duration
 }
 
-// paces is what is known of the speed of workers.
+// slowdowns holds what is known of the speed of workers.
 type slowdowns struct {
-	// usual is the median of all told ratios, by service, found at a time.
+	// median is the median of the reported slowdowns by service, computed at computedAt.
 	median     map[string]float64
 	computedAt time.Duration
-	// lost holds what holders told that are gone, by worker.
+	// lost holds, by worker, what executors reported that are lost since.
 	lost map[string]reportedSlowdown
 }
 
-// MedianSlowdowns returns, by service, how many times as long as declared runs take on a usual worker:
-// the median over all executors that are in touch, which half of the workers can't change.
+// MedianSlowdowns returns the median slowdown by service: the median over the workers of all reachable
+// executors. Wrong values of fewer than half of the workers cannot move it beyond the right ones.
 func (c *Coordinator) MedianSlowdowns(now time.Duration) map[string]float64 {
 	return c.executors.medianSlowdowns(now)
 }
@@ -65,7 +66,8 @@
 	return r.slowdowns.median
 }
 
-// Slowdown returns what was told of a worker last, and how long ago; 0 where nothing was.
+// Slowdown returns the slowdown that was reported last of a worker, and the age of the report; 0
+// where none was.
 func (c *Coordinator) Slowdown(now time.Duration, worker string) (slowdown float64, age time.Duration) {
 	for _, h := range c.executors.list {
 		for i := range h.Workers {
@@ -80,7 +82,7 @@
 	return 0, 0
 }
 
-// keep remembers what a holder told that is lost.
+// retain keeps what a lost executor reported.
 func (p *slowdowns) retain(now time.Duration, h *ExecutorState) {
 	if p.lost == nil {
 		p.lost = make(map[string]reportedSlowdown)
@@ -97,24 +99,24 @@
 	}
 }
 
-// usualRatio is what runs take on a usual worker of a service; 0: not known.
+// medianSlowdown is the median slowdown of a service's workers; 0: not known.
 type medianSlowdown float64
 
 func (r *executors) medianSlowdown(now time.Duration, service string) medianSlowdown {
 	return medianSlowdown(r.medianSlowdowns(now)[service])
 }
 
-// maxSpeed bounds by how much a worker counts for more, or for less, than its room: a pace that is
-// told wrongly must not make room out of nothing.
+// maxSpeed bounds the speed of a worker that is computed from its slowdown, and by 1/maxSpeed from
+// below: a wrong report must not create capacity out of nothing.
 const maxSpeed = 3
 
-// speed is the declared work that a worker does in the time that was declared for it.
+// speed returns how much declared work a worker does per unit of time; 1 is as declared.
 func (median medianSlowdown) speed(w *executor.WorkerCapacity) float64 {
 	slowdown := cmp.Or(w.Slowdown, float64(median), 1)
 	return min(max(1/slowdown, 1.0/maxSpeed), maxSpeed)
 }
 
-// lasting is how long work lasts on usual workers that takes a time by what was declared.
+// scale returns how long work of a declared duration takes on workers of the median slowdown.
 func (median medianSlowdown) scale(declared time.Duration) time.Duration {
 	if median <= 0 {
 		return declared
@@ -122,7 +124,7 @@
 	return time.Duration(min(max(float64(median), 1.0/maxSpeed), maxSpeed) * float64(declared))
 }
 
-// tooSlow reports whether a worker is no room for the task by its speed.
+// tooSlow reports whether the worker is so slow that the task must not be placed on it.
 func (median medianSlowdown) tooSlow(now time.Duration, w *executor.WorkerCapacity, t *task.Task) bool {
 	return median > 0 && w.Slowdown >= slowFactor*float64(median) && executor.TooSlow(now, t, w.Slowdown/float64(median))
 }
--- a/coordinator/rebalance.go
+++ b/coordinator/rebalance.go
@@ -8,13 +8,13 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// maxMoves is how many offers a task may have had and still be asked back: what moves on
-// and on would reach the bound of its offers.
+// maxMoves is the number of offers from which on a task is not moved any more: a task that is moved
+// again and again would reach maxOffers.
 const maxMoves = maxOffers / 2
 
-// rebalance asks for tasks back that wait at one executor while another one has room: the
-// executor reports them as not run, and they are offered again. Without it a task stays
-// where the shortest wait was expected when it came, also while there is room elsewhere.
+// rebalance asks for tasks back that are queued at one executor while another has free capacity. The
+// executor reports them as not run, and they are offered again. Without it a task would stay where
+// the shortest wait was expected when it was offered, even with free capacity elsewhere.
 func (c *Coordinator) rebalance(now time.Duration) {
 	var waiting []*jobTask
 	for _, j := range c.jobs {
@@ -35,7 +35,7 @@
 	}
 }
 
-// reclaim asks an executor for a task, in one message with others.
+// reclaim asks an executor to give a queued task back, in one message with other tasks where possible.
 func (c *Coordinator) reclaim(t *jobTask) {
 	m := c.messageTo(t.holder, func(m *Message) bool { return m.Reclaim != nil })
 	m.Reclaim = append(m.Reclaim, t.ID)
--- a/coordinator/reserve.go
+++ b/coordinator/reserve.go
@@ -9,20 +9,21 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// reservations is at how many further executors a place is reserved for a task that waits. The
-// job is as late as the last of its tasks: with one queue each, a wide one ends with the worst
-// of many. Each costs a place in a message there, and another to drop it.
+// maxReservations is the number of further executors that are asked to reserve capacity for a queued
+// task. A job is as late as its last task: if each task were queued at one executor only, a wide job
+// would wait for the slowest of many queues. Each reservation costs an entry in a message to the
+// executor, and another to drop it.
 const maxReservations = 2
 
-// EventTaskMoves is the name of the event of a task that is asked back for reserved room.
+// EventTaskMoves is the name of the event that a task is asked back to use reserved capacity.
 const EventTaskMoves = "task_moves"
 
-// reserve asks other executors to tell of room for a task that waits at one.
+// reserve asks other executors to reserve capacity for a task that is queued at one.
 func (c *Coordinator) reserve(now time.Duration, t *jobTask) {
 	if t.Durable {
 		return
 	}
-	// The offer has taken the place of a reservation there; lost executors have forgotten theirs.
+	// The offer has replaced the reservation at its executor; lost executors have forgotten theirs.
 	t.reservedAt = slices.DeleteFunc(t.reservedAt, func(p member.Process) bool { return p == t.holder || c.executors.get(p) == nil })
 	var usable []member.Process
 	for _, h := range c.executors.usableFor(now, &t.Task) {
@@ -31,7 +32,7 @@
 		}
 	}
 	wanted := t.Task
-	wanted.Payload, wanted.MaxEpoch = "", 0 // come with the offer
+	wanted.Payload, wanted.MaxEpoch = "", 0 // the offer carries them
 	first := int(pseudoRandom(&t.Task) % (1 << 30))
 	for i := range min(len(usable), maxReservations-len(t.reservedAt)) {
 		p := usable[(first+i)%len(usable)]
@@ -41,8 +42,8 @@
 	}
 }
 
-// message returns the last message to an executor if it is of the kind, else a new one: a later
-// message must not be overtaken.
+// messageTo returns the last message to an executor if it is of the kind, and else a new one. It
+// never adds to an earlier message: what was sent in between would be overtaken.
 func (c *Coordinator) messageTo(to member.Process, ofKind func(*Message) bool) *Message {
 	for i := len(c.out.Messages) - 1; i >= 0; i-- {
 		if m := &c.out.Messages[i]; m.To == to {
@@ -56,7 +57,7 @@
 	return &c.out.Messages[len(c.out.Messages)-1]
 }
 
-// unreserve drops all reservations of a task, and the room that is held for it.
+// unreserve drops all reservations of a task, and the capacity that is reserved for it.
 func (c *Coordinator) unreserve(t *jobTask) {
 	for _, p := range t.reservedAt {
 		c.dropReservation(p, t.ID)
@@ -72,7 +73,8 @@
 	m.Unreserve = append(m.Unreserve, id)
 }
 
-// roomFound asks a task back that still waits, to offer it to an executor that holds room for it.
+// handleReservedCapacity handles the report of an executor that has reserved capacity for a task. It
+// asks the task back, if it is still queued elsewhere, to offer it to that executor.
 func (c *Coordinator) handleReservedCapacity(from member.Process, r task.Report) {
 	t := c.lookup(r.ID)
 	if t == nil {
@@ -89,8 +91,9 @@
 	c.reclaim(t)
 }
 
-// target returns the executor that a task is to be offered to, and whether there is room: the
-// one that holds room for it, one that told of room, or one where it waits.
+// chooseExecutor returns the executor to offer the task to: one with reserved capacity, one with free
+// capacity, or one at which the task is queued. hasCapacity is false for the last; h is nil when no
+// executor can take the task.
 func (c *Coordinator) chooseExecutor(now time.Duration, t *jobTask) (h *ExecutorState, hasCapacity bool) {
 	h = c.executors.get(t.moveTo)
 	t.moveTo = member.Process{}
--- a/coordinator/retire.go
+++ b/coordinator/retire.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// retiredRetryAfter is when a caller may come back that was refused because all failure
-// domains of its service are retired: that lasts until the operator takes one back, so
-// sooner calls would be refused too. It is the longest time that callers are told.
+// retiredRetryAfter is the time after which a caller may retry that was refused because all failure
+// domains of its service are retired. That lasts until the operator reinstates one, so earlier
+// retries would be refused too. It is the longest time that callers are told.
 const retiredRetryAfter = maxRetryAfter
 
-// SetRetiredDomains tells which failure domains' workers are to get no new runs. Executors say so too
-// with their next heartbeats; until then they would be offered tasks that they give back.
+// SetRetiredDomains sets the failure domains whose workers get no new runs. Executors report that too
+// with their next heartbeats; until then they would be offered tasks only to give them back.
 func (c *Coordinator) SetRetiredDomains(domains map[string]bool) {
 	c.executors.retired = domains
 	for _, h := range c.executors.list {
@@ -16,18 +16,18 @@
 	}
 }
 
-// retire closes the rooms of retired failure domains. Those that were taken back open with
-// the executor's next word.
+// closeRetired closes the workers of retired failure domains. Workers of reinstated domains open with
+// the executor's next report.
 func (h *ExecutorState) closeRetired(domains map[string]bool) {
 	for i := range h.Workers {
 		if w := &h.Workers[i]; domains[w.Domain] {
 			w.Open, w.Usable = false, false
 		}
 	}
-	h.fitCount = fitCount{} // those were counted
+	h.fitCount = fitCount{} // it counted the workers that are closed now
 }
 
-// allRetired reports whether executors have workers of the service, and all of them are of
+// allRetired reports whether executors have workers of the service, and all of these workers are in
 // retired failure domains.
 func (r *executors) allRetired(now time.Duration, service string) bool {
 	known := false
--- a/coordinator/rooms.go
+++ b/coordinator/rooms.go
@@ -14,38 +14,38 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// ExecutorState is what an executor last told of its workers.
+// ExecutorState is what an executor reported last of its workers and its daemon's callers.
 type ExecutorState struct {
 	Process member.Process
-	// Distance is the order of preference: 0 for this daemon, 1 for its failure domain, 2 beyond.
+	// Distance orders executors by preference: 0 for this daemon, 1 for its failure domain, 2 beyond.
 	Distance int
-	// Domain is its failure domain, Demands what its callers ask for.
+	// Domain is the failure domain of the daemon, Demands is what its callers ask for.
 	Domain  string
 	Demands []Demand
-	// Workers is what is left on each worker; the coordinator takes off what it offers
-	// until the next word of the executor.
+	// Workers is the free capacity of each worker. The coordinator subtracts what it offers until the
+	// executor's next report.
 	Workers []executor.WorkerCapacity
-	// Backlog is the work that waits there, by service.
+	// Backlog is the work that is queued there, by service.
 	Backlog map[string]executor.Backlog
-	// Leaving executors get nothing new.
+	// Leaving executors are offered no new tasks.
 	Leaving bool
-	// ReportedAt is when the executor told this; 0: not known.
+	// ReportedAt is when the executor reported this; 0: not known.
 	ReportedAt time.Duration
-	// ReportInterval is the time after which its next word is due; 0: 100 ms.
+	// ReportInterval is the time until the executor's next report is due; 0: 100 ms.
 	ReportInterval time.Duration
 	fitCount       fitCount
-	// tenures is how many of its tenures are known; 0: not told.
+	// maxEpoch is the number of the executor's latest known holding epoch; 0: not reported.
 	maxEpoch uint64
 }
 
-// counted is how many tasks of a kind an executor's workers can run at a time, as it was asked
-// last: the tasks of a job are alike, and each asks it of all executors several times.
+// fitCount caches how many tasks of one kind an executor's workers can run at a time. The tasks of a
+// job are alike, and placing each of them asks for the count of every executor several times.
 type fitCount struct {
 	key         fitCountKey
 	inTime, all int
 }
 
-// countKey is what the count depends on beside the rooms.
+// fitCountKey is what the count depends on besides the workers.
 type fitCountKey struct {
 	service       string
 	demand        capacity.Vector
@@ -55,20 +55,20 @@
 }
 
 const (
-	// usualInterval is the time between an executor's words where it doesn't name it.
+	// defaultReportInterval is the interval of reports of an executor that does not name its own.
 	defaultReportInterval = 100 * time.Millisecond
-	// overdueSlack is how late an executor's next word may be before it is offered nothing
-	// new. It is given up only after several intervals; until then tasks offered to one that
-	// is cut off, frozen or without power would be lost to their callers.
+	// overdueTolerance is how late an executor's next report may be before the executor is offered no
+	// new tasks. It counts as lost only after several intervals. Tasks offered until then to an executor
+	// that is cut off, frozen or without power would be lost to their callers.
 	overdueTolerance = 200 * time.Millisecond
 )
 
-// offerable reports whether the executor is offered new tasks.
+// offerable reports whether new tasks are offered to the executor.
 func (h *ExecutorState) offerable(now time.Duration) bool {
 	return !h.Leaving && (h.ReportedAt == 0 || now-h.ReportedAt <= cmp.Or(h.ReportInterval, defaultReportInterval)+overdueTolerance)
 }
 
-// rooms is the coordinator's idea of all executors.
+// executors is the coordinator's view of all executors.
 type executors struct {
 	list []*ExecutorState
 	// retired are the failure domains whose workers get no new runs.
@@ -84,7 +84,7 @@
 		r.insert(h)
 		return
 	}
-	*before = h // in its place: this daemon's own is set at each event
+	*before = h // replaced in place, as the state of this daemon's own executor is updated at each event
 	before.closeRetired(r.retired)
 }
 
@@ -96,8 +96,8 @@
 	r.list = slices.Insert(r.list, at, &h)
 }
 
-// copyTo makes p a copy for trying out where tasks would go. What p has is used again, as in
-// an overload each job that finds no room needs such a copy.
+// copyTo makes p a copy in which placements can be simulated. It reuses the memory of p, as in an
+// overload each job without free capacity needs a copy.
 func (r *executors) copyTo(p *executors) {
 	p.retired, p.slowdowns = r.retired, r.slowdowns
 	for len(p.list) < len(r.list) {
@@ -130,9 +130,10 @@
 	r.list = slices.DeleteFunc(r.list, func(h *ExecutorState) bool { return h.Process == p })
 }
 
-// take returns an executor with room for the task now and takes the room off: the nearest
-// one, with the tightest fit. Among equally near ones each task begins with another:
-// coordinators that all began with the same would take its room from each other.
+// place returns an executor with free capacity for the task, and subtracts the task's demand there: the
+// nearest executor, and on it the worker with the tightest fit. Among equally near executors the
+// search starts at a pseudo-random one for each task: coordinators that all started with the same one
+// would compete for its capacity.
 func (r *executors) place(now time.Duration, t *task.Task) *ExecutorState {
 	h, w := r.findPlacement(now, t)
 	if h != nil {
@@ -141,7 +142,7 @@
 	return h
 }
 
-// fit reports whether there is room for all of the tasks now. It takes nothing.
+// fitsAll reports whether there is free capacity for all of the tasks now. It changes nothing.
 func (r *executors) fitsAll(now time.Duration, tasks []*task.Task) bool {
 	type taken struct {
 		w    *executor.WorkerCapacity
@@ -163,7 +164,8 @@
 	return fits
 }
 
-// find returns the executor and the worker that the task is to be offered for.
+// findPlacement returns the executor to offer the task to, and its worker with free capacity; nil if
+// there is none.
 func (r *executors) findPlacement(now time.Duration, t *task.Task) (*ExecutorState, *executor.WorkerCapacity) {
 	median := r.medianSlowdown(now, t.Service)
 	draw := int(pseudoRandom(t) % (1 << 30))
@@ -186,7 +188,7 @@
 	return nil, nil
 }
 
-// usable is the number of workers that executors in touch have told of.
+// usableWorkers returns the number of usable workers of all executors that are offered tasks.
 func (r *executors) usableWorkers(now time.Duration) (n int) {
 	for _, h := range r.list {
 		if !h.offerable(now) {
@@ -201,10 +203,10 @@
 	return n
 }
 
-// drawFor is a pseudo-random number for an offer of the task.
+// pseudoRandom returns a number that differs between tasks and between the offers of one task.
 func pseudoRandom(t *task.Task) uint64 { return xxhash.Sum64String(t.ID.String()) + uint64(t.Run) }
 
-// fit returns the worker with the tightest fit that isn't too slow.
+// bestFit returns the worker with the tightest fit for the task that is not too slow for it.
 func (h *ExecutorState) bestFit(now time.Duration, t *task.Task, median medianSlowdown) *executor.WorkerCapacity {
 	var best *executor.WorkerCapacity
 	for i := range h.Workers {
@@ -219,16 +221,16 @@
 	return best
 }
 
-// close notes that the executor takes nothing until its next word. Its workers stay known: what
-// was offered there may run on them.
+// markUnavailable notes that the executor takes no tasks until its next report. Its workers stay
+// known: tasks that were offered there may run on them.
 func (h *ExecutorState) markUnavailable() {
 	for i := range h.Workers {
 		h.Workers[i].Open, h.Workers[i].Usable = false, false
 	}
-	h.fitCount = fitCount{} // those were counted
+	h.fitCount = fitCount{} // it counted the workers that are closed now
 }
 
-// full notes that the executor has no room for the task now.
+// markFull notes that the executor has no free capacity for the task now.
 func (h *ExecutorState) markFull(t *task.Task) {
 	for i := range h.Workers {
 		if w := &h.Workers[i]; w.Service == t.Service && t.Demand.Fits(w.Free) {
@@ -237,9 +239,9 @@
 	}
 }
 
-// queue returns the executor at which the task is to wait: of two, the one with the shorter
-// wait. The shortest of all would be the choice of all coordinators until its next
-// heartbeat. Nil when no worker may run the task.
+// chooseQueue returns the executor at which the task is to be queued: of two pseudo-random ones, the
+// one with the shorter wait. If all coordinators chose the shortest wait of all, they would choose the
+// same executor until its next heartbeat. It returns nil when no worker may run the task.
 func (r *executors) chooseQueue(now time.Duration, t *task.Task) *ExecutorState {
 	usable := r.usableFor(now, t)
 	n := uint64(len(usable))
@@ -258,8 +260,8 @@
 	return first
 }
 
-// holdersFor returns the executors with a worker for the task that isn't too slow; where there
-// is none, those with any.
+// usableFor returns the executors with a worker for the task that is not too slow; if there are none,
+// those with any worker for the task.
 func (r *executors) usableFor(now time.Duration, t *task.Task) []*ExecutorState {
 	var inTime, all []*ExecutorState
 	median := r.medianSlowdown(now, t.Service)
@@ -281,7 +283,7 @@
 	return inTime
 }
 
-// serves reports whether a worker of the service is known.
+// hasService reports whether a usable worker of the service is known.
 func (r *executors) hasService(service string) bool {
 	for _, h := range r.list {
 		for _, w := range h.Workers {
@@ -293,11 +295,11 @@
 	return false
 }
 
-// maxCopies bounds how many tasks count as fitting on one worker at a time.
+// maxFitCount bounds how many tasks count as fitting on one worker at a time.
 const maxFitCount = 1000
 
-// copies is how many such tasks the executor's workers can run at a time: a part of a
-// worker too small for one task is no room. Workers that are too slow are counted in all only.
+// fitCounts returns how many tasks like t the executor's workers can run at a time. A remainder of a
+// worker that is too small for one task counts for nothing. all includes workers that are too slow.
 func (h *ExecutorState) fitCounts(now time.Duration, t *task.Task, median medianSlowdown) (inTime, all int) {
 	k := fitCountKey{t.Service, t.Demand, median, now, t.Due, t.ExpectedRunTime}
 	if h.fitCount.key == k {
@@ -318,7 +320,7 @@
 	return inTime, all
 }
 
-// waitAt is the time for which the work before the task keeps an executor's workers busy.
+// waitAt returns how long the work that is queued ahead of the task keeps an executor's workers busy.
 func (r *executors) waitAt(now time.Duration, h *ExecutorState, t *task.Task) time.Duration {
 	count, _ := h.fitCounts(now, t, r.medianSlowdown(now, t.Service))
 	return drainTime(t, h.workAhead(now, t), count)
@@ -329,9 +331,9 @@
 	return b.Ahead(now, t)
 }
 
-// wait is the time for which the task would wait if all executors had one queue: tasks move
-// to where there is room. copies is how many of them run at a time; 0: no worker may run it.
-// Workers that are too slow for it count only where there are no others.
+// sharedWait returns how long the task would wait if all executors had one queue, as tasks are moved
+// to free capacity. count is how many such tasks run at a time; 0: no worker may run it. Workers that
+// are too slow for the task count only if there are no others.
 func (r *executors) sharedWait(now time.Duration, t *task.Task) (wait time.Duration, count int) {
 	median := r.medianSlowdown(now, t.Service)
 	ahead, all := int64(0), 0
@@ -351,13 +353,13 @@
 	return median.scale(drainTime(t, ahead, count)), count
 }
 
-// waitFor is how long work in core-ms lasts on room for a number of copies of the task.
+// drainTime returns how long work in core-ms takes on capacity for count tasks like t at a time.
 func drainTime(t *task.Task, work int64, count int) time.Duration {
 	slots := work * 1000 / max(t.Demand.MilliCPU, 1)
 	return time.Duration(slots/int64(max(count, 1))) * time.Millisecond
 }
 
-// charge adds a task to the work that waits at an executor.
+// addBacklog adds a task to the work that is queued at an executor.
 func (h *ExecutorState) addBacklog(now time.Duration, t *task.Task) {
 	if h.Backlog == nil {
 		h.Backlog = make(map[string]executor.Backlog)
@@ -367,7 +369,7 @@
 	h.Backlog[t.Service] = b
 }
 
-// share is one daemon's part of the processors, in cores, of all workers of a service.
+// daemonShare returns the cores of all workers of a service divided by the number of daemons.
 func (r *executors) daemonShare(now time.Duration, service string) float64 {
 	milli, daemons := int64(0), 0
 	for _, h := range r.list {
--- a/coordinator/shares.go
+++ b/coordinator/shares.go
@@ -13,88 +13,89 @@
 )
 
 const (
-	// committedPart is the part of the room that is divided among claims. Were all of it
-	// promised, those within their shares would wait as long as in any full fleet.
+	// committedShare is the part of the capacity that is divided among claimants. If all of it were
+	// promised, jobs within their shares would wait as long as in any saturated fleet.
 	committedShare = 0.87
-	// impatientAt is the demand, as a part of the room, from which on surplus jobs don't wait for
-	// room at all. Below it down to committedPart they may wait for ever more of their time. What
-	// waits takes each free worker at once, and jobs within their shares would have to queue too.
+	// noWaitLoad is the demand, as a part of the capacity, from which on jobs over their share do not
+	// wait for capacity at all. Between committedShare and noWaitLoad they may wait for a part of their
+	// spare time, the smaller the higher the demand. Queued tasks take each worker as soon as it is
+	// free, so jobs within their shares would have to queue too.
 	noWaitLoad = 1.1
-	// divisionAge is for how long a division holds: demands come by heartbeats, not by jobs.
+	// divisionMaxAge is how long a division is used. Demands change with heartbeats, not with jobs.
 	divisionMaxAge = 20 * time.Millisecond
-	// waitingTime is by how much work has to wait, on all of the room, for what is in use to be
-	// all that can be used.
+	// saturatedBacklog is the queued work, in time on the whole capacity, from which on the capacity in
+	// use is taken as all that can be used.
 	saturatedBacklog = 5 * time.Millisecond
-	// fillGain is the weight of one observation of the part of the room that can be used.
+	// fillSmoothing is the weight of one sample of the usable part of the capacity.
 	fillSmoothing = 0.1
-	// leastFill bounds what is learned of it: a moment in which executors tell of little use,
-	// as after a loss, would else make shares that are too small for many seconds.
+	// minFill bounds the samples from below. Otherwise a moment in which executors report little use,
+	// as after a loss, would make shares too small for many seconds.
 	minFill = 0.5
-	// unusedFor is how long a queue by which no job comes is kept in mind. Longer than bursts
-	// are apart, as a service that begins anew has to learn what is usual.
+	// queueRetention is how long a queue without new jobs is remembered. It is longer than the time
+	// between bursts, as the usual demand of a service has to be learned anew once its queues are forgotten.
 	queueRetention = 10 * time.Minute
 )
 
-// EventOverShare names the decision that a job is beyond its claim's share.
+// EventOverShare is the name of the event that a job exceeds the share of its claimant.
 const EventOverShare = "job_surplus"
 
-// Demand is what the callers of a daemon ask of a queue.
+// Demand is the processor time that the callers of one daemon ask of a queue.
 type Demand struct {
 	Service, Queue string
-	// MilliCPU is the processor that would be busy with it.
+	// MilliCPU is how much processor the demand would keep busy, in thousandths of a core.
 	MilliCPU int64
 }
 
-// ShareState is what a queue's callers in this daemon's failure domain ask for and may have.
+// ShareState is the demand and the share of the callers of one queue in this daemon's failure domain.
 type ShareState struct {
 	Service, Queue string
-	// OwnDemand is what this daemon's callers ask for, in thousandths of a core.
+	// OwnDemand is the demand of this daemon's callers, in thousandths of a core.
 	OwnDemand int64
 	// Demand and Share are in thousandths of a core, over all daemons of the failure domain.
 	Demand, Share float64
-	// OverShare counts this daemon's jobs beyond the share, Refused those of them that were refused.
+	// OverShare counts this daemon's jobs over the share, Refused those of them that were refused.
 	OverShare, Refused uint64
 }
 
-// queueName names a queue of a service.
+// queueName identifies a queue of a service.
 type queueName struct{ service, queue string }
 
-// claimName names who claims room of a service: a queue's callers in one failure domain.
+// claimant identifies who demands capacity of a service: the callers of a queue in one failure domain.
 type claimant struct{ queue, domain string }
 
-// division is how a service's room was divided last.
+// division is the latest division of a service's capacity among its claimants.
 type division struct {
 	computedAt time.Duration
-	// fill is the part of the room that can be used, as large tasks don't fill workers.
+	// fill is the part of the capacity that can be used, as large tasks leave parts of workers unused.
 	fill float64
-	// room is what can be used, in thousandths of a core.
+	// capacity is the usable capacity, in thousandths of a core.
 	capacity float64
-	// patience is the part of its spare time that a surplus job may wait.
+	// waitFraction is the part of its spare time that a job over its share may wait.
 	waitFraction float64
 	learned      share.LearnedShares[claimant]
-	// names are the claims, daemons is how many tell of each.
+	// claimants are those with demand; daemons counts the daemons that report demand of each.
 	claimants       []claimant
 	demands, shares map[claimant]float64
 	daemons         map[claimant]int
 }
 
-// standing is what became of a queue's jobs here.
+// queueStats is the accounting of a queue's jobs at this daemon.
 type queueStats struct {
-	// carried is the work within the share that whole jobs have not used yet.
+	// credit is work within the share that has not been used by a whole job yet.
 	credit             float64
 	overShare, refused uint64
-	// used is when a job came last.
+	// lastUsed is when the latest job was submitted.
 	lastUsed time.Duration
 }
 
-// shares divides room among claims. Its zero value is ready for use.
+// shares divides capacity among claimants. Its zero value is ready for use.
 type shares struct {
 	meter     share.Meter[queueName]
 	divisions map[string]*division
 	queues    map[queueName]*queueStats
 }
 
-// Demands is what this daemon's callers ask for, for its heartbeats.
+// Demands returns the demand of this daemon's callers by queue, for its heartbeats.
 func (c *Coordinator) Demands(now time.Duration) []Demand {
 	var list []Demand
 	for q, rate := range c.shares.meter.Rates(now) {
@@ -108,7 +109,8 @@
 	return list
 }
 
-// ShareStates tells of the queues that jobs came by here, and forgets those that are no longer used.
+// ShareStates returns the queues that jobs were submitted to here, and forgets those that are no
+// longer used.
 func (c *Coordinator) ShareStates(now time.Duration) []ShareState {
 	c.shares.forget(now)
 	list := make([]ShareState, 0, len(c.shares.queues))
@@ -125,8 +127,8 @@
 	return list
 }
 
-// forget drops queues that are no longer used, and the divisions of services without any. Else each
-// name that a configuration ever had would stay as long as the process.
+// forget drops unused queues, and the divisions of services without any queue. Otherwise every name
+// that a configuration ever had would stay in memory as long as the process.
 func (s *shares) forget(now time.Duration) {
 	used := make(map[string]bool, len(s.divisions))
 	for q, st := range s.queues {
@@ -139,7 +141,7 @@
 	maps.DeleteFunc(s.divisions, func(service string, _ *division) bool { return !used[service] })
 }
 
-// work is what the job asks for, in thousandths of a core and seconds.
+// work returns the work that the job asks for, in thousandths of a core times seconds.
 func (j *Job) work() (sum float64) {
 	for _, s := range j.Steps {
 		sum += float64(s.Count) * float64(s.Demand.MilliCPU) * s.ExpectedRunTime.Seconds()
@@ -147,9 +149,9 @@
 	return sum
 }
 
-// judgeShare decides whether the job is beyond the share of its claim: of a claim that asks for
-// more, as much of the work as the share allows is within it, in whole jobs. Kept jobs are not
-// metered: they take hours, and a rate says nothing of them.
+// checkShare decides whether the job is over the share of its claimant. If the demand exceeds the
+// share, as much work as the share allows is within it, in whole jobs. Durable jobs are not metered:
+// they take hours, and a rate says nothing about them.
 func (c *Coordinator) checkShare(now time.Duration, j *job) {
 	work := j.work()
 	if j.Durable || work <= 0 {
@@ -191,9 +193,10 @@
 	return st
 }
 
-// allowedPart is the part of the queue's work here that is within the claim's share: as much as
-// of the whole claim, but at least as much as half of an equal part among the claim's daemons
-// allows. One that tells an absurd demand would else take all of its claim from the others.
+// allowedFraction returns the part of the queue's work here that is within the claimant's share. It is
+// the same part as of the claimant's whole demand, but at least what half of an equal part per daemon
+// allows. Otherwise one daemon that reports an absurd demand would take the whole share from the
+// claimant's other daemons.
 func (c *Coordinator) allowedFraction(now time.Duration, d *division, q queueName) float64 {
 	key := claimant{q.queue, c.ownDomain()}
 	demand, granted := d.demands[key], d.shares[key]
@@ -204,7 +207,7 @@
 	return max(granted/demand, min(1, equal))
 }
 
-// divide returns how the service's room is divided now.
+// divide returns the current division of the service's capacity.
 func (c *Coordinator) divide(now time.Duration, service string) *division {
 	d := c.shares.divisions[service]
 	if d != nil && now-d.computedAt < divisionMaxAge && now >= d.computedAt {
@@ -229,7 +232,7 @@
 	return d
 }
 
-// measure learns which part of the room can be used, from moments in which work waits.
+// updateFill learns which part of the capacity can be used, from moments in which work is queued.
 func (d *division) updateFill(total, used, queued float64) {
 	if total > 0 && queued > total*saturatedBacklog.Seconds() {
 		d.fill += fillSmoothing * (min(max(used/total, minFill), 1) - d.fill)
@@ -237,7 +240,7 @@
 	d.capacity = d.fill * total
 }
 
-// collect adds up what this daemon and those in touch are asked for.
+// collectDemands sums up the demands of this daemon's callers and of those of reachable peers.
 func (c *Coordinator) collectDemands(now time.Duration, service string, d *division) {
 	d.claimants, d.demands, d.daemons = d.claimants[:0], make(map[claimant]float64), make(map[claimant]int)
 	add := func(queue, domain string, milliCPU float64) {
@@ -259,7 +262,7 @@
 		}
 		for _, peerDemand := range h.Demands {
 			if peerDemand.Service == service {
-				// A wrong word of a peer counts as all of the room at most.
+				// A wrong demand from a peer counts as the whole capacity at most.
 				add(peerDemand.Queue, h.Domain, min(max(float64(peerDemand.MilliCPU), 0), d.capacity))
 			}
 		}
@@ -273,9 +276,9 @@
 	return ""
 }
 
-// use returns the service's room and what of it is in use, in thousandths of a core, and the
-// work that waits for it, in thousandths of a core and seconds. Demand is told by declared times,
-// so a worker counts for the declared work that it does.
+// usage returns the service's capacity and the part in use, in thousandths of a core, and the work that
+// is queued for it, in thousandths of a core times seconds. Callers state demands in declared run
+// times, so a worker counts with the declared work that it does per unit of time.
 func (r *executors) usage(now time.Duration, service string) (total, used, queued float64) {
 	median := r.medianSlowdown(now, service)
 	for _, h := range r.list {
@@ -290,13 +293,13 @@
 			}
 		}
 		for _, work := range h.Backlog[service] {
-			queued += float64(work) // core-ms, which is the same
+			queued += float64(work) // core-ms equal thousandths of a core times seconds
 		}
 	}
 	return total, used, queued
 }
 
-// slack is for how long the job may wait and be taken.
+// slack returns how long the job may wait and still be admitted.
 func (c *Coordinator) slack(now time.Duration, j *job) time.Duration {
 	s := max(j.due-now-longestChain(j.Steps), 0)
 	if !j.overShare {
@@ -305,7 +308,7 @@
 	return time.Duration(float64(s) * c.divide(now, j.Service).waitFraction)
 }
 
-// refusedFor names what limits a job that is refused, and counts it.
+// refusalReason returns the reason for refusing a job, and counts refusals of jobs over their share.
 func (c *Coordinator) refusalReason(j *job, reason Reason) Reason {
 	if !j.overShare || reason != ReasonNoCapacity {
 		return reason
--- a/coordinator/succession.go
+++ b/coordinator/succession.go
@@ -10,19 +10,21 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// succession is the takeover of a worker.
+// takeover is the takeover of a worker by an executor, with what the worker listed.
 type takeover struct {
 	successor  member.Process
 	receivedAt time.Duration
-	// running is what the worker listed then.
+	// running is the runs that the worker listed at the takeover, by task.
 	running map[task.ID]uint32
-	// token is that of the tenure; 0: not told. recalled: the list is of later than its beginning.
+	// token is the fencing token of the holding epoch; 0: not reported. reconciled: the list answers a
+	// reconciliation and is later than the beginning of the epoch.
 	token      uint64
 	reconciled bool
 }
 
-// after reports whether the list is later than all starts in the tenure of a token, which the worker
-// refuses then. Earlier daemons tell no tokens; their takeovers count for a while.
+// laterThan reports whether the list is later than all starts in the holding epoch of the given fencing
+// token: a worker refuses such starts once it has listed its runs under a higher token. Daemons of earlier
+// versions report no tokens; their takeovers count for takeoverRetention.
 func (s takeover) laterThan(now time.Duration, token uint64) bool {
 	if s.token == 0 || token == 0 {
 		return s.receivedAt > 0 && now-s.receivedAt <= takeoverRetention
@@ -30,13 +32,13 @@
 	return s.token > token || s.reconciled && s.token == token
 }
 
-// before reports whether the list is earlier than the tenure of a token.
+// earlierThan reports whether the list is earlier than the holding epoch of the given fencing token.
 func (s takeover) earlierThan(token uint64) bool { return s.token > 0 && s.token < token }
 
-// claimLate claims a task from a successor whose question came before the news that the
-// task had run there. The run may have been stopped as unclaimed meanwhile; then the
-// successor says when it is over. A successor that has lost the worker again itself is not
-// asked: it would say "moved" for ever.
+// claimFromSuccessor claims a task from a successor whose takeover was handled before the report that
+// the task had run on the worker. The successor may have stopped the run as unclaimed meanwhile; then it
+// reports the run's end. The executor that reports the loss is not asked, in case that it is the
+// successor and has lost the worker again: it would report "moved" without end.
 func (c *Coordinator) claimFromSuccessor(now time.Duration, from member.Process, t *jobTask) {
 	s := c.latestTakeovers[t.worker]
 	if s.successor == from || !s.laterThan(now, t.token) || c.executors.get(s.successor) == nil {
@@ -49,8 +51,8 @@
 	}})
 }
 
-// HandleExecutorLost tells that an executor is gone or can't be reached. What it ran is claimed
-// from its successors.
+// HandleExecutorLost handles the loss of an executor that left or is unreachable. It claims the
+// executor's runs from the successors that took its workers over.
 func (c *Coordinator) HandleExecutorLost(now time.Duration, p member.Process) {
 	tokens := c.workersOf(p)
 	workers := maps.Clone(tokens)
@@ -82,8 +84,8 @@
 	}
 }
 
-// told returns the workers on which an executor may run what it was offered, and the tokens of its
-// tenures.
+// workersOf returns the workers on which an executor may run what it was offered, with the fencing
+// tokens of its holding epochs.
 func (c *Coordinator) workersOf(p member.Process) map[string]uint64 {
 	workers := make(map[string]uint64)
 	if h := c.executors.get(p); h != nil {
@@ -93,14 +95,14 @@
 	}
 	for w, s := range c.latestTakeovers {
 		if s.successor == p {
-			workers[w] = max(workers[w], s.token) // taken since its last heartbeat, perhaps
+			workers[w] = max(workers[w], s.token) // it may have taken the worker over since its last heartbeat
 		}
 	}
 	return workers
 }
 
-// forgetOld drops takeovers that are of no use any more: since then heartbeats have told
-// who holds what.
+// dropOldTakeovers drops takeovers that are of no use any more: heartbeats have reported the holders
+// of the workers since then.
 func (c *Coordinator) dropOldTakeovers(now time.Duration) {
 	for w, s := range c.latestTakeovers {
 		if now-s.receivedAt > 5*takeoverRetention {
@@ -109,7 +111,7 @@
 	}
 }
 
-// findSuccessor claims a lost task from a daemon that has noticed the loss sooner.
+// findSuccessor claims a lost task from a daemon that noticed the loss earlier.
 func (c *Coordinator) findSuccessor(now time.Duration, lostHolder member.Process, t *jobTask, tokens map[string]uint64) {
 	if t.worker == "" {
 		for w, s := range c.latestTakeovers {
@@ -121,7 +123,8 @@
 	c.claimFromSuccessor(now, lostHolder, t)
 }
 
-// HandleTakeover answers a successor's question about a worker.
+// HandleTakeover handles the takeover of a worker. It answers with claims, at once or when the runs
+// that the worker lists are known.
 func (c *Coordinator) HandleTakeover(now time.Duration, from member.Process, t executor.Takeover) {
 	c.dropOldTakeovers(now)
 	c.executors.addEpoch(from, t)
@@ -143,7 +146,8 @@
 	return takeover{from, now, running, t.Token, t.Reconciliation}
 }
 
-// answerTakeover claims what is this coordinator's and restarts what the worker doesn't list.
+// answerTakeover claims this coordinator's runs that the worker lists, and restarts its tasks that the
+// worker does not list any more.
 func (c *Coordinator) answerTakeover(now time.Duration, from member.Process, t executor.Takeover) {
 	s := newTakeover(now, from, t)
 	claims := executor.Claims{Owner: c.self, Worker: t.Worker}
@@ -168,7 +172,7 @@
 	c.out.Messages = append(c.out.Messages, Message{To: from, Claims: &claims})
 }
 
-// mayList reports whether a listed run under the task's number may be the task's.
+// mayBeListedRun reports whether a listed run under the task's number may be a run of the task.
 func (c *Coordinator) mayBeListedRun(s takeover, workerID string, t *jobTask) bool {
 	switch {
 	case t.worker == workerID:
@@ -180,7 +184,7 @@
 	}
 }
 
-// endedBefore takes an end that the worker listed for an earlier holder.
+// handleEarlierCompletion handles a completion that the worker recorded for an earlier holder.
 func (c *Coordinator) handleEarlierCompletion(now time.Duration, s takeover, workerID string, r task.RunningTask) {
 	t := c.lookup(r.ID)
 	if t != nil && t.Durable {
@@ -190,8 +194,9 @@
 	if t == nil || t.Run != r.Run || t.state != lost && (t.state != offered || t.worker != workerID) {
 		return
 	}
-	// An end of a run that isn't known to have been there by then may be that of an earlier try
-	// of the caller, under the same number: it proves the work done, but not this run over.
+	// A run that is not known to have been on the worker at that time may belong to an earlier attempt
+	// of the caller, under the same number. Its completion proves that the work is done, but its
+	// failure or end does not prove that our run is over.
 	if !r.Done && (t.worker != workerID || !s.laterThan(now, t.token)) {
 		return
 	}
@@ -207,7 +212,7 @@
 	}
 }
 
-// missing restarts tasks that ran on the worker and are not on its later list any more.
+// restartUnlisted restarts lost tasks that ran on the worker and are missing from its later list.
 func (c *Coordinator) restartUnlisted(now time.Duration, j *job, workerID string, s takeover) {
 	for _, t := range j.tasks {
 		if j.ended {
@@ -220,8 +225,8 @@
 	}
 }
 
-// resolveHolders restarts what waited at a lost executor once all its workers were taken
-// over and none of them listed it.
+// resolveLostExecutors removes a worker from those that await takeover, and restarts what was queued at
+// a lost executor once all its workers were taken over and none of them lists the task.
 func (c *Coordinator) resolveLostExecutors(now time.Duration, workerID string, s takeover) {
 	for p, workers := range c.awaitingTakeover {
 		if token, ok := workers[workerID]; ok && s.laterThan(now, token) {
@@ -231,8 +236,8 @@
 	}
 }
 
-// resolve restarts what waited at one lost executor, once it is known of all its workers
-// that none listed it.
+// resolveLostExecutor restarts what was queued at one lost executor, once all its workers were taken
+// over and none of them lists the task.
 func (c *Coordinator) resolveLostExecutor(now time.Duration, p member.Process) {
 	if workers, ok := c.awaitingTakeover[p]; !ok || len(workers) > 0 {
 		return
--- a/coordinator/tenure.go
+++ b/coordinator/tenure.go
@@ -5,12 +5,12 @@
 	"github.com/lavendercleat/lavendercleat/member"
 )
 
-// What an executor is offered it starts only in tenures that are known here, up to the number that
-// the offer tells. For each of these the worker is listed in the executor's last heartbeat or in a
-// takeover by it, or the ends of its runs were reported before. This daemon's own executor is never
-// lost, and needs no bound.
+// An executor starts an offered task only in holding epochs up to the number that the offer names. The
+// coordinator names the highest epoch that it knows. For each epoch up to it, the worker is in the
+// executor's last heartbeat or in a takeover by the executor, or the completions of its runs were
+// reported before. This daemon's own executor is never lost, so its offers need no bound.
 
-// countTenures takes the number of tenures that the rooms tell; what was known before is known.
+// updateMaxEpoch sets the latest known epoch from the report. An epoch that was known before stays known.
 func (h *ExecutorState) updateMaxEpoch(before *ExecutorState) {
 	if h.Distance == 0 {
 		return
@@ -23,14 +23,14 @@
 	}
 }
 
-// tenureBegan notes the tenure of a takeover, if all before it are known.
+// addEpoch records the epoch of a takeover if all earlier epochs are known.
 func (r *executors) addEpoch(p member.Process, t executor.Takeover) {
 	if h := r.get(p); h != nil && h.maxEpoch > 0 && t.Epoch == h.maxEpoch+1 {
 		h.maxEpoch = t.Epoch
 	}
 }
 
-// knownTenures is the number of an executor's tenures that are known; 0: it needs no bound.
+// maxEpoch returns the number of an executor's latest known epoch; 0: its offers need no bound.
 func (r *executors) maxEpoch(p member.Process) uint64 {
 	if h := r.get(p); h != nil {
 		return h.maxEpoch
--- a/coordinator/undecided.go
+++ b/coordinator/undecided.go
@@ -9,22 +9,22 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// undecidedWait bounds the wait for news of a task before a takeover is answered: the
-// earlier holder tells within a round trip where it started, and the new one stops what
-// nobody has claimed after 300 ms.
+// startReportTimeout bounds the wait for a report on a task before a takeover is answered. The earlier
+// holder reports within a round trip where the task started. The new holder stops runs that nobody has
+// claimed after 300 ms.
 const startReportTimeout = 200 * time.Millisecond
 
-// undecided is a takeover that is not answered yet.
+// pendingTakeover is a takeover that is not answered yet.
 type pendingTakeover struct {
 	from       member.Process
 	request    executor.Takeover
 	receivedAt time.Duration
 }
 
-// undecidedFor reports whether the worker lists a run under the number of a task that was
-// offered and not heard of since. It may be ours, started a moment ago; or that of an earlier
-// try of the caller. Claimed, the one would run twice at once; not claimed, the other would
-// be stopped and started again.
+// hasUnconfirmedRun reports whether the worker lists a run under the number of a task that was offered
+// and has not been reported since. The run may be ours, started a moment ago, or belong to an earlier
+// attempt of the caller. If we claimed a run of an earlier attempt, the task would run twice at a time.
+// If we did not claim our own run, the new holder would stop it and the task would start again.
 func (c *Coordinator) hasUnconfirmedRun(t executor.Takeover) bool {
 	return slices.ContainsFunc(t.Running, func(r task.RunningTask) bool {
 		jt := c.lookup(r.ID)
@@ -32,7 +32,8 @@
 	})
 }
 
-// decide answers takeovers that were waited with, once it is known where their tasks are.
+// answerPending answers pending takeovers once it is known where their tasks run, or after
+// startReportTimeout.
 func (c *Coordinator) answerPending(now time.Duration) {
 	pending := c.pendingTakeovers
 	c.pendingTakeovers = nil
