--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -123,7 +123,7 @@
 
 // taskStarted notes that a task runs and needs no reserved capacity any more.
 func (c *Coordinator) taskStarted(t *jobTask) {
-	t.waiting = false
+	t.queued = false
 	c.unreserve(t)
 }
 
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -55,7 +55,8 @@
 	Unreserve []task.ID
 	// ConfirmStored lists runs whose completions are stored: the executor may acknowledge them.
 	ConfirmStored []task.RunRef
-	// Superseded lists runs whose completions came too late: their tasks have been started again.
+	// Superseded lists runs whose completions came too late: their tasks have been started again. The
+	// executor lets these completions lapse and does not acknowledge them as stored.
 	Superseded []task.RunRef
 	// Reconcile lists durable jobs with lost tasks: the executor reports which of their runs it has.
 	Reconcile []string
@@ -186,7 +187,7 @@
 		c.giveUp(now, j, ReasonNoCapacity)
 		return
 	}
-	t.waiting, t.reclaiming = !hasCapacity, false
+	t.queued, t.reclaiming = !hasCapacity, false
 	t.previousStarted, t.notStarted = t.latestStarted(), false
 	t.Run++
 	t.offers++
--- a/coordinator/durable_test.go
+++ b/coordinator/durable_test.go
@@ -267,7 +267,7 @@
 	assert.Equal(t, len(r.offers(peerB)), 1)
 }
 
-// superseded returns the runs whose completions executors were told not to acknowledge as stored.
+// superseded returns the runs whose completions executors have to let lapse.
 func (r *rig) superseded() (runs []task.RunRef) {
 	r.drain()
 	for _, m := range r.messages {
--- a/coordinator/job.go
+++ b/coordinator/job.go
@@ -127,9 +127,9 @@
 	// which it was started; 0: not known.
 	worker string
 	token  uint64
-	// waiting: the executor had no free capacity when the task was offered; reclaiming: the executor
+	// queued: the executor had no free capacity when the task was offered; reclaiming: the executor
 	// was asked to give it back.
-	waiting, reclaiming bool
+	queued, reclaiming bool
 	// failures counts failed runs, offers counts all offers.
 	failures, offers int
 	// previousStarted is the number of the latest run before Run that may have started; notStarted:
--- a/coordinator/rebalance.go
+++ b/coordinator/rebalance.go
@@ -16,18 +16,18 @@
 // executor reports them as not run, and they are offered again. Without it a task would stay where
 // the shortest wait was expected when it was offered, even with free capacity elsewhere.
 func (c *Coordinator) rebalance(now time.Duration) {
-	var waiting []*jobTask
+	var queued []*jobTask
 	for _, j := range c.jobs {
 		for _, t := range j.tasks {
-			if t.state == offered && t.waiting && !t.reclaiming && !j.Durable && t.offers < maxMoves {
-				waiting = append(waiting, t)
+			if t.state == offered && t.queued && !t.reclaiming && !j.Durable && t.offers < maxMoves {
+				queued = append(queued, t)
 			}
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *jobTask) int {
+	slices.SortFunc(queued, func(a, b *jobTask) int {
 		return cmp.Or(task.CompareOverShare(&a.Task, &b.Task), cmp.Compare(a.Due-a.ExpectedRunTime, b.Due-b.ExpectedRunTime), cmp.Compare(a.ID.String(), b.ID.String()))
 	})
-	for _, t := range waiting {
+	for _, t := range queued {
 		if h := c.executors.place(now, &t.Task); h != nil && h.Process != t.holder {
 			t.reclaiming = true
 			c.reclaim(t)
--- a/coordinator/reserve.go
+++ b/coordinator/reserve.go
@@ -82,7 +82,7 @@
 		return
 	}
 	t.reservedAt = slices.DeleteFunc(t.reservedAt, func(p member.Process) bool { return p == from })
-	if t.state != offered || !t.waiting || t.reclaiming || t.holder == from || t.offers >= maxMoves {
+	if t.state != offered || !t.queued || t.reclaiming || t.holder == from || t.offers >= maxMoves {
 		c.dropReservation(from, r.ID)
 		return
 	}
