--- a/coordinator/rebalance.go
+++ b/coordinator/rebalance.go
@@ -8,35 +8,35 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// maxMoves is how many offers a task may have had and still be asked back: what moves on
-// and on would reach the bound of its offers.
+// maxMoves is the number of offers from which on a task is not moved any more: a task that is moved
+// again and again would reach maxOffers.
 const maxMoves = maxOffers / 2
 
-// rebalance asks for tasks back that wait at one executor while another one has room: the
-// executor reports them as not run, and they are offered again. Without it a task stays
-// where the shortest wait was expected when it came, also while there is room elsewhere.
+// rebalance asks for tasks back that are queued at one executor while another has free capacity. The
+// executor reports them as not run, and they are offered again. Without it a task would stay where
+// the shortest wait was expected when it was offered, even with free capacity elsewhere.
 func (c *Coordinator) rebalance(now time.Duration) {
-	var waiting []*jobTask
+	var queued []*jobTask
 	for _, j := range c.jobs {
 		for _, t := range j.tasks {
-			if t.state == offered && t.waiting && !t.reclaiming && !j.Durable && t.offers < maxMoves {
-				waiting = append(waiting, t)
+			if t.state == offered && t.queued && !t.reclaiming && !j.Durable && t.offers < maxMoves {
+				queued = append(queued, t)
 			}
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *jobTask) int {
+	slices.SortFunc(queued, func(a, b *jobTask) int {
 		return cmp.Or(task.CompareOverShare(&a.Task, &b.Task), cmp.Compare(a.Due-a.ExpectedRunTime, b.Due-b.ExpectedRunTime), cmp.Compare(a.ID.String(), b.ID.String()))
 	})
-	for _, t := range waiting {
-		if h := c.rooms.take(now, &t.Task); h != nil && h.Process != t.holder {
+	for _, t := range queued {
+		if h := c.executors.place(now, &t.Task); h != nil && h.Process != t.holder {
 			t.reclaiming = true
 			c.reclaim(t)
 		}
 	}
 }
 
-// reclaim asks an executor for a task, in one message with others.
+// reclaim asks an executor to give a queued task back, in one message with other tasks where possible.
 func (c *Coordinator) reclaim(t *jobTask) {
-	m := c.message(t.holder, func(m *Message) bool { return m.Reclaim != nil })
+	m := c.messageTo(t.holder, func(m *Message) bool { return m.Reclaim != nil })
 	m.Reclaim = append(m.Reclaim, t.ID)
 }
