--- a/config/effects.go
+++ b/config/effects.go
@@ -8,20 +8,20 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// Load is what runs in the fleet at the time of a plan, as far as entries answered.
-type Load struct {
+// FleetLoad is what runs in the fleet at the time of a plan, as far as entries answered.
+type FleetLoad struct {
 	Running int
 	Waiting int
-	// RunningOn counts the running tasks by worker.
-	RunningOn map[string]int
+	// RunningByWorker counts the running tasks by worker.
+	RunningByWorker map[string]int
 	// TeamRates are the task starts per second that each team asks for.
 	TeamRates map[string]int
 	// Unreachable names the entries that did not answer.
 	Unreachable []string
 }
 
-// EffectsOf tells what follows from a change of the document.
-func EffectsOf(before, after *schema.Config, vms []*schema.Vm, load Load) schema.Effects {
+// ComputeEffects tells what follows from a change of the document.
+func ComputeEffects(before, after *schema.Config, vms []*schema.Vm, load FleetLoad) schema.Effects {
 	b, a := NewIndex(before), NewIndex(after)
 	e := schema.Effects{
 		Domains:             domainEffects(b, a, vms),
@@ -31,7 +31,7 @@
 	}
 	for _, vm := range vms {
 		if isWorker(vm) && a.Drained(vm) && !b.Drained(vm) {
-			e.RunningThere += int64(load.RunningOn[vm.GetAddress()])
+			e.RunningThere += int64(load.RunningByWorker[vm.GetAddress()])
 		}
 	}
 	e.SqueezedTeams = squeezedTeams(before, after, e.Domains, load)
@@ -108,7 +108,7 @@
 }
 
 // squeezedTeams returns the teams that use more now than they would get.
-func squeezedTeams(before, after *schema.Config, domains []schema.DomainEffect, load Load) []schema.TeamEffect {
+func squeezedTeams(before, after *schema.Config, domains []schema.DomainEffect, load FleetLoad) []schema.TeamEffect {
 	slots := int64(0)
 	for _, d := range domains {
 		slots += d.SlotsAfter
@@ -141,7 +141,7 @@
 }
 
 // warnings names what is legal but may be a slip.
-func warnings(before, after *schema.Config, vms []*schema.Vm, load Load) []string {
+func warnings(before, after *schema.Config, vms []*schema.Vm, load FleetLoad) []string {
 	workers, racks, domains := listed(vms)
 	var w []string
 	unlisted := func(what string, before, after []string, known map[string]bool) {
--- a/config/plan.go
+++ b/config/plan.go
@@ -22,8 +22,8 @@
 	BadIntent Reason = "bad_intent"
 	// BadPlan: identifier and contents of a confirmation don't belong together.
 	BadPlan Reason = "bad_plan"
-	// BaseMoved: another plan was applied since this one was made.
-	BaseMoved Reason = "base_moved"
+	// BaseRevisionChanged: another plan was applied since this one was made.
+	BaseRevisionChanged Reason = "base_moved"
 	// NowhereToRun: a kind or the fleet would be left without workers or entries.
 	NowhereToRun Reason = "nowhere_to_run"
 	// PlatformOlder: the platform's document is older than the one in force.
@@ -40,8 +40,8 @@
 const (
 	Applied = "applied"
 	Refused = "refused"
-	// Unknown: a write was sent and no answer tells whether it took effect.
-	Unknown = "unknown"
+	// OutcomeUnknown: a write was sent and no answer tells whether it took effect.
+	OutcomeUnknown = "unknown"
 )
 
 // MaxRecentPlans bounds the document's history.
@@ -56,8 +56,8 @@
 type Refusal struct {
 	Reason  Reason
 	Message string
-	// Moved holds the plans applied since the base revision, for BaseMoved.
-	Moved []schema.HistoryEntry
+	// AppliedSince holds the plans applied since the base revision, for BaseRevisionChanged.
+	AppliedSince []schema.HistoryEntry
 }
 
 // Error implements error.
@@ -83,14 +83,14 @@
 	return hex.EncodeToString(sum[:planIDBytes])
 }
 
-// Step is a document with the one that an intent makes of it.
-type Step struct {
+// Update is a document with the one that an intent makes of it.
+type Update struct {
 	Before *schema.Config
 	After  *schema.Config
 }
 
-// Next returns the step from base by the intent; its document has the next revision.
-func Next(base *schema.Config, i schema.Intent) (*Step, *Refusal) {
+// NewUpdate returns the step from base by the intent; its document has the next revision.
+func NewUpdate(base *schema.Config, i schema.Intent) (*Update, *Refusal) {
 	after, err := Apply(base, i)
 	if err == nil {
 		err = Validate(after)
@@ -100,7 +100,7 @@
 	}
 	// A first document may bring a revision of its own, see Init.
 	after.Revision = max(base.GetRevision(), after.GetRevision()) + 1
-	s := &Step{Before: base, After: after}
+	s := &Update{Before: base, After: after}
 	if Action(i.Action) != Restore && len(Diff(base, after)) == 0 {
 		return nil, refuse(BadIntent, "nothing would change")
 	}
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// Record adds an applied plan to the step's document.
-func (s *Step) Record(id, operator string, i schema.Intent, unixMS int64) {
+// AddToHistory adds an applied plan to the step's document.
+func (s *Update) AddToHistory(id, operator string, i schema.Intent, unixMS int64) {
 	plans := append(s.After.GetRecentPlans(), &schema.AppliedPlan{
 		Id: id, Revision: s.After.GetRevision(), Operator: operator, Intent: Describe(i), ConfirmedUnixMs: unixMS,
 	})
@@ -156,20 +156,20 @@
 	return nil
 }
 
-// CheckBase refuses a plan whose base is not the document's revision and says what
+// CheckBaseRevision refuses a plan whose base is not the document's revision and says what
 // was applied in between.
-func CheckBase(c *schema.Config, base uint64) *Refusal {
+func CheckBaseRevision(c *schema.Config, base uint64) *Refusal {
 	if c.GetRevision() == base {
 		return nil
 	}
-	r := refuse(BaseMoved, "the plan was made for revision %d and revision %d is in force; plan again", base, c.GetRevision())
+	r := refuse(BaseRevisionChanged, "the plan was made for revision %d and revision %d is in force; plan again", base, c.GetRevision())
 	for _, h := range HistoryOf(c).Plans {
 		if h.Revision > base {
-			r.Moved = append(r.Moved, h)
+			r.AppliedSince = append(r.AppliedSince, h)
 		}
 	}
-	if missing := c.GetRevision() - base; c.GetRevision() > base && uint64(len(r.Moved)) < missing {
-		r.Message += fmt.Sprintf(" (%d changes in between, the last %d are known)", missing, len(r.Moved))
+	if missing := c.GetRevision() - base; c.GetRevision() > base && uint64(len(r.AppliedSince)) < missing {
+		r.Message += fmt.Sprintf(" (%d changes in between, the last %d are known)", missing, len(r.AppliedSince))
 	}
 	return r
 }
@@ -186,9 +186,9 @@
 	return h
 }
 
-// Fork tells whether two documents of one revision were made by different plans,
+// Diverged tells whether two documents of one revision were made by different plans,
 // which happens when a platform comes back older and is changed before the entries
 // that know better can tell.
-func Fork(a, b *schema.Config) bool {
+func Diverged(a, b *schema.Config) bool {
 	return a.GetRevision() == b.GetRevision() && !proto.Equal(a, b)
 }
--- a/config/validate.go
+++ b/config/validate.go
@@ -19,9 +19,9 @@
 	MaxTasks      = 160
 	MaxBodyBytes  = 16 << 20
 	MaxDeadlineMS = 10 * 60 * 1000
-	// MaxDocument is the largest document in bytes; the platform holds values up to
+	// MaxDocumentBytes is the largest document in bytes; the platform holds values up to
 	// 1 MiB, and the rest is for the history.
-	MaxDocument = 960 << 10
+	MaxDocumentBytes = 960 << 10
 	// maxName is the longest name of a kind, team or drained VM in bytes.
 	maxName = 200
 )
@@ -36,8 +36,8 @@
 	}
 	checkTeams(c.GetTeams(), fault)
 	checkNames(c, fault)
-	if n := proto.Size(c); n > MaxDocument {
-		fault("the document has %d bytes, accepted are up to %d", n, MaxDocument)
+	if n := proto.Size(c); n > MaxDocumentBytes {
+		fault("the document has %d bytes, accepted are up to %d", n, MaxDocumentBytes)
 	}
 	if len(faults) == 0 {
 		return nil
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -112,8 +112,8 @@
 	return &trackedConn{Conn: conn}, nil
 }
 
-// Forget closes the idle connections of workers that are not in keep.
-func (c *Client) Forget(keep map[string]bool) {
+// CloseUnlisted closes the idle connections of workers that are not in keep.
+func (c *Client) CloseUnlisted(keep map[string]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for w, p := range c.pools {
@@ -125,7 +125,7 @@
 }
 
 // Close closes all idle connections.
-func (c *Client) Close() { c.Forget(nil) }
+func (c *Client) Close() { c.CloseUnlisted(nil) }
 
 // Task is one call of a worker.
 type Task struct {
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	return load.Remote(c.LoadSettings, p, nil).Check()
+	return load.RemoteRun(c.LoadSettings, p, nil).Check()
 }
 
 // profile returns the profile of the file, or of the flags without one.
@@ -50,7 +50,7 @@
 	if c.Profile != "" {
 		return load.ReadProfile(c.Profile)
 	}
-	return load.SettingsProfile(c.LoadSettings), nil
+	return load.ProfileFromSettings(c.LoadSettings), nil
 }
 
 // Run sends the load and prints the report.
@@ -61,7 +61,7 @@
 	}
 	ctx, cancel := untilSignal()
 	defer cancel()
-	r, err := load.Remote(c.LoadSettings, p, terminal(s.err)).Do(ctx)
+	r, err := load.RemoteRun(c.LoadSettings, p, terminal(s.err)).Do(ctx)
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 	ctx, cancel := untilSignal()
 	defer cancel()
 	var reports []schema.LoadReport
-	err = load.Experiment(ctx, c.ExperimentSettings, p, terminal(s.err), func(r schema.LoadReport) error {
+	err = load.RunExperiment(ctx, c.ExperimentSettings, p, terminal(s.err), func(r schema.LoadReport) error {
 		reports = append(reports, r)
 		if c.Json {
 			return printJSON(s.out, r)
@@ -129,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	reports := load.PlanFleet(p)
+	reports := load.EstimateFleet(p)
 	if c.JSON {
 		return printJSON(s.out, reports)
 	}
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -52,10 +52,10 @@
 		return err
 	}
 	debug.SetGCPercent(c.GcPercent)
-	if settings.Memory > 0 {
-		debug.SetMemoryLimit(int64(float64(settings.Memory) * heapShare))
+	if settings.MemoryLimit > 0 {
+		debug.SetMemoryLimit(int64(float64(settings.MemoryLimit) * heapShare))
 	}
-	queue := logging.NewQueue(s.out) // the platform collects the standard output
+	queue := logging.NewAsyncWriter(s.out) // the platform collects the standard output
 	defer queue.Close(logCloseTimeout)
 	s = &streams{in: s.in, out: s.out, err: queue}
 	return runApp(newApp(s, l, c.StopDelay+c.StopTimeout+nodeStopMargin,
@@ -95,8 +95,8 @@
 				log.WithFields(logrus.Fields{"event": "settings_invalid", "error": err}).Error("the settings in force stay")
 				continue
 			}
-			n.AddSeeds(s.Seeds)
-			log.WithFields(logrus.Fields{"event": "settings_reloaded", "seeds": len(s.Seeds)}).Info()
+			n.AddSeeds(s.SeedPeers)
+			log.WithFields(logrus.Fields{"event": "settings_reloaded", "seeds": len(s.SeedPeers)}).Info()
 		}
 	}
 	lc.Append(fx.Hook{
@@ -108,16 +108,16 @@
 // settingsCheck is the time between two looks at the settings file.
 const settingsCheck = 2 * time.Second
 
-func newNode(s platform.Settings, c schema.NodeSettings, log *logrus.Logger, q *logging.Queue) (*node.Node, error) {
+func newNode(s platform.Settings, c schema.NodeSettings, log *logrus.Logger, q *logging.AsyncWriter) (*node.Node, error) {
 	n, err := node.New(node.Config{
-		Name: s.Name, Domain: s.Domain, Cores: s.Cores, LinkMbps: s.LinkMbps, FirstStart: s.FirstStart, Address: s.Control, Listen: c.PeerListen, Seeds: s.Seeds, FeedPort: s.Feed.Port(),
-		Lease: min(c.Lease, s.Lease), MaxLease: s.Lease, StopWithin: s.StopWithin, EntryTTL: max(c.EntryTtl, s.MinStoreLease),
-		StopDelay: c.StopDelay, StopTimeout: c.StopTimeout, StoreWrites: s.StoreWrites, Retention: s.Retention,
+		Name: s.Name, Domain: s.Domain, Cores: s.Cores, LinkMbps: s.LinkMbps, FirstStart: s.Bootstrap, Address: s.PeerAddress, Listen: c.PeerListen, Seeds: s.SeedPeers, FeedPort: s.RelayAddress.Port(),
+		Lease: min(c.Lease, s.MaxWorkerLease), MaxLease: s.MaxWorkerLease, StopWithin: s.WorkerStopTimeout, EntryTTL: max(c.EntryTtl, s.MinStoreLease),
+		StopDelay: c.StopDelay, StopTimeout: c.StopTimeout, StoreWrites: s.StoreWritesPerSecond, Retention: s.StateRetention,
 	}, platform.Connect(s), log)
 	if err != nil {
 		return nil, err
 	}
-	n.PublishGauge("log_lines_left_out", func() float64 { return float64(q.Left()) })
+	n.PublishGauge("log_lines_left_out", func() float64 { return float64(q.DroppedLines()) })
 	return n, nil
 }
 
@@ -136,22 +136,22 @@
 		if n.Stopping() {
 			c.Header("Connection", "close") // callers on open connections go elsewhere
 		}
-		platform.NewFront(n).ServeHTTP(c.Writer, c.Request)
+		platform.NewCallerHandler(n).ServeHTTP(c.Writer, c.Request)
 	})
 	server := func(h http.Handler) *httpstop.Server {
 		return httpstop.New(&http.Server{Handler: h, ReadHeaderTimeout: frontHeaderTimeout, IdleTimeout: frontIdleTimeout})
 	}
 	servers := &nodeServers{
-		servers:   []*httpstop.Server{server(front), server(platform.NewReady(n.Ready))},
-		addresses: []netip.AddrPort{s.Front, s.Ready},
+		servers:   []*httpstop.Server{server(front), server(platform.NewReadinessHandler(n.Ready))},
+		addresses: []netip.AddrPort{s.CallerAddress, s.ReadinessAddress},
 	}
-	if s.Feed.IsValid() {
+	if s.RelayAddress.IsValid() {
 		servers.servers = append(servers.servers, server(n.FeedHandler()))
-		servers.addresses = append(servers.addresses, s.Feed)
+		servers.addresses = append(servers.addresses, s.RelayAddress)
 	}
 	if c.MetricsPort != 0 {
 		servers.servers = append(servers.servers, server(metricsHandler(n)))
-		servers.addresses = append(servers.addresses, netip.AddrPortFrom(s.Front.Addr(), c.MetricsPort))
+		servers.addresses = append(servers.addresses, netip.AddrPortFrom(s.CallerAddress.Addr(), c.MetricsPort))
 	}
 	return servers
 }
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -70,7 +70,7 @@
 		CallerURL:   httpURL(e.CallerAddress()),
 		OperatorURL: httpURL(e.OperatorAddress()),
 		MetricsURL:  httpURL(e.MetricsAddress()) + "/metrics",
-		PeerListen:  e.PeerListen(),
+		PeerListen:  e.PeerListenAddress(),
 	})
 }
 
--- a/internal/clock/pause.go
+++ b/internal/clock/pause.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// PauseLimit is how late a step may be before the process counts as paused: far above
+	// PauseThreshold is how late a step may be before the process counts as paused: far above
 	// what scheduling and collecting garbage cost, below the time after which peers take
 	// a silent entry's slots.
-	PauseLimit = time.Second
+	PauseThreshold = time.Second
 	// drainTime is the time after a pause within which requests that waited unread in
 	// the sockets are read, by a process that gets the processor when it needs it.
 	drainTime = time.Second
@@ -21,10 +21,10 @@
 	maxDrain = 5 * time.Second
 )
 
-// Pauses notices pauses of the process, so that requests which waited unread meanwhile
+// PauseDetector notices pauses of the process, so that requests which waited unread meanwhile
 // are not taken for new ones: their callers may have given up long ago. It is safe
 // for concurrent use.
-type Pauses struct {
+type PauseDetector struct {
 	mu sync.Mutex
 	// beat is the time of the latest beat.
 	beat time.Duration
@@ -33,16 +33,16 @@
 	paused, woken, drained time.Duration
 }
 
-// Beat tells that the process runs; call it many times within a second.
-func (p *Pauses) Beat(now time.Duration) {
+// Tick tells that the process runs; call it many times within a second.
+func (p *PauseDetector) Tick(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.step(now)
 }
 
-// Received returns the earliest time at which a request that is read now may have
+// EarliestArrival returns the earliest time at which a request that is read now may have
 // arrived: now, or the start of a pause that has just ended.
-func (p *Pauses) Received(now time.Duration) time.Duration {
+func (p *PauseDetector) EarliestArrival(now time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.step(now) // on waking, a request may be read before the next beat
@@ -52,10 +52,10 @@
 	return now
 }
 
-func (p *Pauses) step(now time.Duration) {
+func (p *PauseDetector) step(now time.Duration) {
 	late, draining := now-p.beat, p.beat < p.drained
 	switch {
-	case late > PauseLimit:
+	case late > PauseThreshold:
 		// A pause that begins before the sockets are read doesn't end the one before: what
 		// waited since then would be started after its time.
 		if !draining {
--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -69,8 +69,8 @@
 
 // Messages between entries have room for the largest answer and the largest body.
 const (
-	_ = uint(peer.MaxMessage - maxResultBytes - messageOverhead)
-	_ = uint(peer.MaxMessage - config.MaxBodyBytes - messageOverhead)
+	_ = uint(peer.MaxMessageBytes - maxResultBytes - messageOverhead)
+	_ = uint(peer.MaxMessageBytes - config.MaxBodyBytes - messageOverhead)
 	// messageOverhead is what a message has besides an answer or a body.
 	messageOverhead = 1 << 20
 )
@@ -190,7 +190,7 @@
 	late := now - d.stepped
 	first := d.stepped == 0
 	d.stepped = now
-	if first || late <= clock.PauseLimit {
+	if first || late <= clock.PauseThreshold {
 		return
 	}
 	d.holds++
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -257,7 +257,7 @@
 
 // publishTraffic publishes what the control traffic costs.
 func (e *Entry) publishTraffic() {
-	peers := func() peer.Traffic { return e.client.Traffic().Plus(e.servers.peer.Traffic()) }
+	peers := func() peer.Traffic { return e.client.Traffic().Add(e.servers.peer.Traffic()) }
 	calls := &e.platform.Traffic
 	e.metrics.gauge(`peer_bytes_total{direction="sent"}`, func() float64 { return float64(peers().BytesSent) })
 	e.metrics.gauge(`peer_bytes_total{direction="received"}`, func() float64 { return float64(peers().BytesReceived) })
@@ -270,7 +270,7 @@
 // notReady says why the balancer should send no work, nil when it should.
 func (e *Entry) notReady() *verdict.Failure {
 	if e.stopping.Load() {
-		return verdict.New(verdict.NotRun, verdict.Stopping, "this entry is stopping; ask another").After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.Stopping, "this entry is stopping; ask another").WithRetryAfter(time.Second)
 	}
 	return e.unable()
 }
@@ -278,7 +278,7 @@
 // unable says why no work can be done here, nil when it can.
 func (e *Entry) unable() *verdict.Failure {
 	if why := e.state.lacks(); why != "" {
-		return verdict.New(verdict.NotRun, verdict.NotReady, "%s", why).After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.NotReady, "%s", why).WithRetryAfter(time.Second)
 	}
 	return retired(e.state, e.settings.Domain)
 }
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -82,14 +82,14 @@
 }
 
 // load adds up what runs in the fleet.
-func (f *fleet) load(ctx context.Context) config.Load {
+func (f *fleet) load(ctx context.Context) config.FleetLoad {
 	replies, unreachable := f.ask(ctx)
-	l := config.Load{RunningOn: make(map[string]int), TeamRates: make(map[string]int), Unreachable: unreachable}
+	l := config.FleetLoad{RunningByWorker: make(map[string]int), TeamRates: make(map[string]int), Unreachable: unreachable}
 	for _, r := range replies {
 		l.Running += int(r.GetRunningTasks())
 		l.Waiting += int(r.GetWaitingTasks())
 		for _, w := range r.GetRunningOn() {
-			l.RunningOn[w.GetWorker()] += int(w.GetSlots())
+			l.RunningByWorker[w.GetWorker()] += int(w.GetSlots())
 		}
 		for team, rate := range r.GetTeamRates() {
 			l.TeamRates[team] += int(rate)
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -58,7 +58,7 @@
 	r.metrics.message("forward")
 	// A caller is told at once when its owner is cut off, rather than after a wait for
 	// a connection, and told when to come back.
-	answer, failure := r.client.CallReachable(ctx, to.Address, &schema.Request{Body: &schema.Request_Forward{
+	answer, failure := r.client.CallIfReachable(ctx, to.Address, &schema.Request{Body: &schema.Request_Forward{
 		Forward: &schema.Forward{Method: c.method, Id: c.id, Team: c.team, Body: c.body},
 	}})
 	if failure != nil {
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -106,7 +106,7 @@
 	var all []*schema.EndedSubmission
 	h.submissions.table.EachEnded(now, func(r *submission.Record, keep time.Duration) {
 		e := r.Response()
-		if len(e.Body) > peer.MaxMessage/2 {
+		if len(e.Body) > peer.MaxMessageBytes/2 {
 			// It can't be sent. Without a record the successor would say that nothing
 			// started.
 			f := verdict.New(verdict.MayHaveRun, verdict.IdentifierExpired, "the answer was too large to be kept when its entry stopped")
--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -86,7 +86,7 @@
 		return bad(verdict.UnknownKind, "kind %q is not in the configuration; name one that is", shorten(j.Kind))
 	case x.Held(j.Kind):
 		held := verdict.New(verdict.NotRun, verdict.KindHeld, "an operator holds kind %q; come back later", shorten(j.Kind))
-		return nil, nil, held.After(heldRetryAfter)
+		return nil, nil, held.WithRetryAfter(heldRetryAfter)
 	case len(j.Tasks) == 0:
 		return bad(verdict.BadRequest, "the job has no tasks; send at least one")
 	case len(j.Tasks) > int(limits.GetMaxTasks()):
--- a/internal/entry/membership.go
+++ b/internal/entry/membership.go
@@ -144,7 +144,7 @@
 	}
 	m.mu.Unlock()
 	if restarted {
-		m.client.Restarted(address, p.Clock)
+		m.client.CloseStale(address, p.Clock)
 	}
 	if changed {
 		m.log.WithFields(logrus.Fields{"event": "peer_changed", "peer": address, "stopping": p.Stopping}).Info("peer is alive")
@@ -191,7 +191,7 @@
 	changed := false
 	m.with(func(v *member.View) {
 		now := m.clock.Now()
-		if late := now - m.lastBeat - m.interval; m.lastBeat != 0 && late > clock.PauseLimit {
+		if late := now - m.lastBeat - m.interval; m.lastBeat != 0 && late > clock.PauseThreshold {
 			v.HandlePause(now, late)
 		}
 		m.lastBeat = now
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -120,7 +120,7 @@
 var outcomeStatuses = map[config.Reason]int{
 	config.BadIntent:           http.StatusBadRequest,
 	config.BadPlan:             http.StatusBadRequest,
-	config.BaseMoved:           http.StatusConflict,
+	config.BaseRevisionChanged: http.StatusConflict,
 	config.NowhereToRun:        http.StatusConflict,
 	config.PlatformOlder:       http.StatusConflict,
 	config.Unreadable:          http.StatusConflict,
@@ -133,14 +133,14 @@
 	switch out.Outcome {
 	case config.Refused:
 		status = outcomeStatuses[config.Reason(out.Reason)]
-	case config.Unknown:
+	case config.OutcomeUnknown:
 		status = http.StatusGatewayTimeout
 	}
 	c.JSON(status, out)
 }
 
 func refused(r *config.Refusal) schema.Outcome {
-	out := schema.Outcome{Outcome: config.Refused, Reason: string(r.Reason), Message: r.Message, Moved: r.Moved}
+	out := schema.Outcome{Outcome: config.Refused, Reason: string(r.Reason), Message: r.Message, Moved: r.AppliedSince}
 	if r.Reason == config.PlatformUnavailable || r.Reason == config.EntryBehind {
 		out.RetryAfterMs = operatorRetryAfter.Milliseconds()
 	}
@@ -160,7 +160,7 @@
 
 func unknown() schema.Outcome {
 	return schema.Outcome{
-		Outcome: config.Unknown, Reason: string(config.PlatformUnavailable),
+		Outcome: config.OutcomeUnknown, Reason: string(config.PlatformUnavailable),
 		Message: "a write was sent and the platform's service gave no answer: the plan may have been applied, or may yet be. " +
 			"Confirm the same plan again once the platform answers: it is applied at most once, and the answer says whether it was",
 		RetryAfterMs: operatorRetryAfter.Milliseconds(),
--- a/internal/entry/planner.go
+++ b/internal/entry/planner.go
@@ -38,7 +38,7 @@
 	// newestPeer returns the highest revision that a live peer has in force.
 	newestPeer func() uint64
 	// load tells what runs in the fleet.
-	load func(context.Context) config.Load
+	load func(context.Context) config.FleetLoad
 	// announce tells the peers of a new revision at once.
 	announce func()
 }
@@ -104,7 +104,7 @@
 		return p.restoreBase(s, inForce)
 	case s.unreadable:
 		return nil, &config.Refusal{Reason: config.Unreadable, Message: "the platform's document can't be decoded; plan restore writes back the one in force"}
-	case s.doc.GetRevision() < have || config.Fork(s.doc, inForce):
+	case s.doc.GetRevision() < have || config.Diverged(s.doc, inForce):
 		return nil, &config.Refusal{Reason: config.PlatformOlder, Message: "the platform's document is not the one in force, it came back older; plan restore first, which writes back the one in force"}
 	}
 	return s.doc, nil
@@ -115,7 +115,7 @@
 	if inForce.GetRevision() == 0 {
 		return nil, &config.Refusal{Reason: config.BadIntent, Message: "no configuration is in force at this entry"}
 	}
-	if s.doc.GetRevision() == inForce.GetRevision() && !config.Fork(s.doc, inForce) {
+	if s.doc.GetRevision() == inForce.GetRevision() && !config.Diverged(s.doc, inForce) {
 		return nil, &config.Refusal{Reason: config.BadIntent, Message: "the platform holds the document in force; there is nothing to restore"}
 	}
 	return inForce, nil
@@ -127,7 +127,7 @@
 	if refusal != nil {
 		return schema.Plan{}, refusal
 	}
-	step, refusal := config.Next(base, i)
+	step, refusal := config.NewUpdate(base, i)
 	if refusal != nil {
 		return schema.Plan{}, refusal
 	}
@@ -138,7 +138,7 @@
 		Revision:     step.After.GetRevision(),
 		// What is restored changes against the platform's document.
 		Changes: config.Diff(s.doc, step.After),
-		Effects: config.EffectsOf(base, step.After, p.state.vmList().GetVms(), p.load(ctx)),
+		Effects: config.ComputeEffects(base, step.After, p.state.vmList().GetVms(), p.load(ctx)),
 	}
 	out.Id = config.PlanID(i, out.BaseRevision, out.Nonce)
 	if r := config.CheckEffects(out.Effects, i); r != nil {
@@ -183,7 +183,7 @@
 	if refusal != nil {
 		return refused(refusal)
 	}
-	step.Record(c.Id, operator, c.Intent, time.Now().UnixMilli())
+	step.AddToHistory(c.Id, operator, c.Intent, time.Now().UnixMilli())
 	return p.write(ctx, s.key, step, c)
 }
 
@@ -197,15 +197,15 @@
 }
 
 // step computes the plan again and refuses it if its base moved.
-func (p *planner) step(base *schema.Config, c schema.Confirmation) (*config.Step, *config.Refusal) {
-	if r := config.CheckBase(base, c.BaseRevision); r != nil {
+func (p *planner) step(base *schema.Config, c schema.Confirmation) (*config.Update, *config.Refusal) {
+	if r := config.CheckBaseRevision(base, c.BaseRevision); r != nil {
 		return nil, r
 	}
-	step, refusal := config.Next(base, c.Intent)
+	step, refusal := config.NewUpdate(base, c.Intent)
 	if refusal != nil {
 		return nil, refusal
 	}
-	effects := config.EffectsOf(base, step.After, p.state.vmList().GetVms(), config.Load{})
+	effects := config.ComputeEffects(base, step.After, p.state.vmList().GetVms(), config.FleetLoad{})
 	return step, config.CheckEffects(effects, c.Intent)
 }
 
@@ -213,7 +213,7 @@
 // taken effect, or may yet. It is sent again with the same expected revision, so at
 // most one of the copies takes effect; a conflict then means that one did, or that
 // another plan did, and the document's history tells which.
-func (p *planner) write(ctx context.Context, key uint64, step *config.Step, c schema.Confirmation) schema.Outcome {
+func (p *planner) write(ctx context.Context, key uint64, step *config.Update, c schema.Confirmation) schema.Outcome {
 	b, err := proto.Marshal(step.After)
 	if err != nil {
 		return refused(&config.Refusal{Reason: config.BadIntent, Message: err.Error()})
@@ -252,15 +252,15 @@
 			return p.inForce(s.doc, c.Id, unanswered)
 		}
 		p.state.offerConfig(s.doc)
-		if r := config.CheckBase(s.doc, c.BaseRevision); r != nil {
+		if r := config.CheckBaseRevision(s.doc, c.BaseRevision); r != nil {
 			return refused(r)
 		}
-		return refused(&config.Refusal{Reason: config.BaseMoved, Message: "the platform's document changed meanwhile; plan again"})
+		return refused(&config.Refusal{Reason: config.BaseRevisionChanged, Message: "the platform's document changed meanwhile; plan again"})
 	}
 	if unanswered {
 		return unknown()
 	}
-	return refused(&config.Refusal{Reason: config.BaseMoved, Message: "another plan was applied first; what it changed can't be read now, the platform's service gives no answer; plan again"})
+	return refused(&config.Refusal{Reason: config.BaseRevisionChanged, Message: "another plan was applied first; what it changed can't be read now, the platform's service gives no answer; plan again"})
 }
 
 // inForce puts the written document in force here at once and tells the peers, so
--- a/internal/entry/quotas.go
+++ b/internal/entry/quotas.go
@@ -73,7 +73,7 @@
 		return nil
 	}
 	return verdict.New(verdict.NotRun, verdict.DomainRetired,
-		"failure domain %s is retired; ask an entry of another one", domain).After(time.Second)
+		"failure domain %s is retired; ask an entry of another one", domain).WithRetryAfter(time.Second)
 }
 
 // refund gives back the starts of a job that was refused for another reason.
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -140,7 +140,7 @@
 }
 
 func (e *Entry) tick() {
-	e.router.submissions.pauses.Beat(e.clock.Now())
+	e.router.submissions.pauses.Tick(e.clock.Now())
 	e.router.submissions.dispatcher.tick()
 }
 
@@ -158,8 +158,8 @@
 // PeerAddress returns the address of the peer interface.
 func (e *Entry) PeerAddress() netip.AddrPort { return e.members.self.Address }
 
-// PeerListen returns the address on which the entry listens for peers.
-func (e *Entry) PeerListen() netip.AddrPort { return e.servers.peer.Address() }
+// PeerListenAddress returns the address on which the entry listens for peers.
+func (e *Entry) PeerListenAddress() netip.AddrPort { return e.servers.peer.Address() }
 
 // Abort breaks everything off at once, as when the process dies: callers get no
 // answer and nothing is handed over. It is meant for experiments.
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -158,7 +158,7 @@
 // is not ready because it stops still serves during the stop delay.
 func (e *Entry) refusesNew() *verdict.Failure {
 	if e.sealed.Load() {
-		return verdict.New(verdict.NotRun, verdict.Stopping, "this entry is stopping; ask another").After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.Stopping, "this entry is stopping; ask another").WithRetryAfter(time.Second)
 	}
 	return e.unable()
 }
--- a/internal/entry/submissions.go
+++ b/internal/entry/submissions.go
@@ -26,7 +26,7 @@
 // submissions runs the submissions that this process owns.
 type submissions struct {
 	clock      *clock.Clock
-	pauses     *clock.Pauses
+	pauses     *clock.PauseDetector
 	minter     *submission.Minter
 	table      *submission.Table
 	state      *state
@@ -47,7 +47,7 @@
 func newSubmissions(e *Entry, m *submission.Minter, d *dispatcher) *submissions {
 	return &submissions{
 		clock:  e.clock,
-		pauses: new(clock.Pauses),
+		pauses: new(clock.PauseDetector),
 		minter: m,
 		table: submission.NewTable(submission.TableConfig{
 			Window:    e.settings.IdentifierWindow,
@@ -97,7 +97,7 @@
 	}
 	// A request that waited unread while this process was frozen has its time from
 	// then: counted from now, it would start after its caller gave up.
-	deadline := s.pauses.Received(s.clock.Now()) + time.Duration(wait)*time.Millisecond
+	deadline := s.pauses.EarliestArrival(s.clock.Now()) + time.Duration(wait)*time.Millisecond
 	run := &jobRun{
 		submission:  r.ID,
 		path:        kind.GetPath(),
@@ -195,7 +195,7 @@
 	if f.RetryAfter > 0 || statusOf(f) < http.StatusInternalServerError {
 		return f
 	}
-	return f.After(failureRetryAfter)
+	return f.WithRetryAfter(failureRetryAfter)
 }
 
 // failedAnswer returns the answer that tells of a failure.
@@ -206,7 +206,7 @@
 		Verdict:      f.Verdict.String(),
 		Reason:       string(f.Reason),
 		Message:      f.Message,
-		Resubmit:     f.Resubmit(idempotent),
+		Resubmit:     f.ResubmitSafety(idempotent),
 		RetryAfterMs: f.RetryAfter.Milliseconds(),
 	}
 }
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -172,7 +172,7 @@
 		s.ignore(seen, "older", "the platform's document is older than the one in force")
 	case seen.GetRevision() < have.GetRevision():
 		return true
-	case config.Fork(seen, have):
+	case config.Diverged(seen, have):
 		s.ignore(seen, "forked", "the platform's document has the revision in force but another content")
 	default:
 		s.mu.Lock()
--- a/internal/entry/workers.go
+++ b/internal/entry/workers.go
@@ -46,7 +46,7 @@
 			list = append(list, w.worker(vm, index))
 		}
 	}
-	w.client.Forget(keep)
+	w.client.CloseUnlisted(keep)
 	w.dispatcher.step(func(now time.Duration) { w.dispatcher.sched.SetWorkers(now, list) })
 }
 
--- a/internal/load/counters.go
+++ b/internal/load/counters.go
@@ -36,7 +36,7 @@
 	retries  map[string]int64
 	messages map[string]int64
 	borrows  map[string]int64
-	witness  standin.Witness
+	witness  standin.RunRecord
 }
 
 // source reads counters.
@@ -62,7 +62,7 @@
 		if err != nil {
 			return c, errors.Wrapf(err, "asking backend server %s", b)
 		}
-		var w standin.Witness
+		var w standin.RunRecord
 		if err := json.Unmarshal(body, &w); err != nil {
 			return c, errors.Wrapf(err, "asking backend server %s", b)
 		}
@@ -122,9 +122,9 @@
 	}
 }
 
-func (c *counters) addWitness(w standin.Witness) {
+func (c *counters) addWitness(w standin.RunRecord) {
 	c.witness.Starts += w.Starts
-	c.witness.Doubled += w.Doubled
+	c.witness.Duplicates += w.Duplicates
 	c.witness.Refused += w.Refused
 	c.witness.Aborted += w.Aborted
 	c.witness.BusyMS += w.BusyMS
@@ -138,7 +138,7 @@
 	d.borrows = difference(c.borrows, before.borrows)
 	d.witness = c.witness
 	d.witness.Starts -= before.witness.Starts
-	d.witness.Doubled -= before.witness.Doubled
+	d.witness.Duplicates -= before.witness.Duplicates
 	d.witness.Refused -= before.witness.Refused
 	d.witness.Aborted -= before.witness.Aborted
 	d.witness.BusyMS -= before.witness.BusyMS
@@ -160,7 +160,7 @@
 func (c counters) waste(usefulSeconds float64) schema.LoadWaste {
 	w := schema.LoadWaste{
 		Starts:           c.witness.Starts,
-		Doubled:          c.witness.Doubled,
+		Doubled:          c.witness.Duplicates,
 		RefusedByWorkers: c.witness.Refused,
 		Retries:          counts(c.retries),
 		EmptyBorrows:     c.borrows[borrowNothing],
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -67,9 +67,9 @@
 	return nil
 }
 
-// Experiment runs every combination of load and policy and calls done with each
+// RunExperiment runs every combination of load and policy and calls done with each
 // report, in order.
-func Experiment(ctx context.Context, s schema.ExperimentSettings, p schema.LoadProfile, progress io.Writer, done func(schema.LoadReport) error) error {
+func RunExperiment(ctx context.Context, s schema.ExperimentSettings, p schema.LoadProfile, progress io.Writer, done func(schema.LoadReport) error) error {
 	if err := CheckExperiment(s); err != nil {
 		return err
 	}
--- a/internal/load/fleet.go
+++ b/internal/load/fleet.go
@@ -70,9 +70,9 @@
 	mbps float64
 }
 
-// PlanFleet works out what the daemons of a fleet hold, read and send at each size, by the same
+// EstimateFleet works out what the daemons of a fleet hold, read and send at each size, by the same
 // rules as they do: cells, readers, holders and the pace of heartbeats are the product's own.
-func PlanFleet(p schema.FleetProfile) (reports []schema.FleetReport) {
+func EstimateFleet(p schema.FleetProfile) (reports []schema.FleetReport) {
 	for _, n := range p.Daemons {
 		reports = append(reports, planSize(p, int(n)))
 	}
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -66,8 +66,8 @@
 	return errors.Wrapf(dec.Decode(into), "%s is not %s", file, what)
 }
 
-// SettingsProfile returns the profile of one class that the settings describe.
-func SettingsProfile(s schema.LoadSettings) schema.LoadProfile {
+// ProfileFromSettings returns the profile of one class that the settings describe.
+func ProfileFromSettings(s schema.LoadSettings) schema.LoadProfile {
 	return schema.LoadProfile{Classes: []schema.LoadClass{{
 		Name: s.Kind, Kind: s.Kind, Urgency: s.Urgency, Weight: 1,
 		MinTasks: s.MinTasks, MaxTasks: s.MaxTasks, DeadlineMs: s.Deadline.Milliseconds(),
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -31,8 +31,8 @@
 	fault func(d *driver)
 }
 
-// Remote returns the run of the settings against running entries.
-func Remote(s schema.LoadSettings, p schema.LoadProfile, progress io.Writer) Run {
+// RemoteRun returns the run of the settings against running entries.
+func RemoteRun(s schema.LoadSettings, p schema.LoadProfile, progress io.Writer) Run {
 	return Run{
 		Name: "load", Profile: p, URLs: s.Urls, Token: s.Token, JobsPerSecond: s.JobsPerSecond,
 		Duration: s.Duration, WarmUp: s.WarmUp, Seed: s.Seed, Progress: progress,
--- a/internal/logging/queue.go
+++ b/internal/logging/queue.go
@@ -21,9 +21,9 @@
 	batchBytes = 32 << 10
 )
 
-// Queue is a writer that never holds its caller up: lines wait in bounded queues, and what
+// AsyncWriter is a writer that never holds its caller up: lines wait in bounded queues, and what
 // doesn't fit is left out and counted. Warnings and errors are kept before other lines.
-type Queue struct {
+type AsyncWriter struct {
 	w         io.Writer
 	high, low chan []byte
 	left      atomic.Int64
@@ -36,9 +36,9 @@
 	filled time.Time
 }
 
-// NewQueue returns a queue that writes to w until it is closed.
-func NewQueue(w io.Writer) *Queue {
-	q := &Queue{
+// NewAsyncWriter returns a queue that writes to w until it is closed.
+func NewAsyncWriter(w io.Writer) *AsyncWriter {
+	q := &AsyncWriter{
 		w: w, high: make(chan []byte, queueLines), low: make(chan []byte, queueLines),
 		done: make(chan struct{}), closing: make(chan struct{}), tokens: lineBurst, filled: time.Now(),
 	}
@@ -46,11 +46,11 @@
 	return q
 }
 
-// Left returns the number of lines that were left out so far.
-func (q *Queue) Left() int64 { return q.left.Load() }
+// DroppedLines returns the number of lines that were left out so far.
+func (q *AsyncWriter) DroppedLines() int64 { return q.left.Load() }
 
 // Write queues one line. It never fails and never waits.
-func (q *Queue) Write(p []byte) (int, error) {
+func (q *AsyncWriter) Write(p []byte) (int, error) {
 	to := q.high
 	if isRoutine(p) {
 		to = q.low
@@ -74,7 +74,7 @@
 }
 
 // take takes a token for one line.
-func (q *Queue) take() bool {
+func (q *AsyncWriter) take() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
@@ -88,7 +88,7 @@
 }
 
 // Close writes what waits, for at most the given time.
-func (q *Queue) Close(timeout time.Duration) {
+func (q *AsyncWriter) Close(timeout time.Duration) {
 	q.closeOnce.Do(func() { close(q.closing) })
 	select {
 	case <-q.done:
@@ -96,7 +96,7 @@
 	}
 }
 
-func (q *Queue) run() {
+func (q *AsyncWriter) run() {
 	defer close(q.done)
 	var told int64
 	for {
@@ -115,7 +115,7 @@
 }
 
 // next waits for a line; false when the queue is closed and empty.
-func (q *Queue) next() ([]byte, bool) {
+func (q *AsyncWriter) next() ([]byte, bool) {
 	if line, ok := q.ready(); ok {
 		return line, true
 	}
@@ -130,7 +130,7 @@
 }
 
 // ready returns a line that waits, one of a failure first.
-func (q *Queue) ready() ([]byte, bool) {
+func (q *AsyncWriter) ready() ([]byte, bool) {
 	select {
 	case line := <-q.high:
 		return line, true
@@ -144,7 +144,7 @@
 	}
 }
 
-func (q *Queue) batch(first []byte) []byte {
+func (q *AsyncWriter) batch(first []byte) []byte {
 	b := first
 	for len(b) < batchBytes {
 		line, ok := q.ready()
--- a/internal/node/durable.go
+++ b/internal/node/durable.go
@@ -283,7 +283,7 @@
 		if canceled = n.cancelNonDurable(now, id); canceled || !n.durable.ledger.Has(id) {
 			return
 		}
-		n.durable.ledger.End(now, id, ledger.Canceled)
+		n.durable.ledger.SetFinalState(now, id, ledger.Canceled)
 		c = n.addCaller(id, true)
 	})
 	if canceled || c != nil && n.awaitEvent(ctx, id, c) == ledger.Ended {
--- a/internal/node/interfaces.go
+++ b/internal/node/interfaces.go
@@ -18,8 +18,8 @@
 	// Do sends one order and returns what the answer proves. It returns within the order's own
 	// time-out.
 	Do(ctx context.Context, c executor.Call) executor.Answer
-	// Forget drops the state that it keeps for a worker that has left.
-	Forget(worker string)
+	// CloseConnections drops the state that it keeps for a worker that has left.
+	CloseConnections(worker string)
 }
 
 // Platform holds the daemon's interfaces to the platform that it runs on.
--- a/internal/node/ledgerwrites.go
+++ b/internal/node/ledgerwrites.go
@@ -43,7 +43,7 @@
 	if a.Status != coordinator.Completed {
 		state = ledger.Failed
 	}
-	n.durable.ledger.End(now, a.Job, state)
+	n.durable.ledger.SetFinalState(now, a.Job, state)
 }
 
 // startWrites starts the writes that are due. The caller holds the lock.
@@ -157,8 +157,8 @@
 // takenOverProgress is the progress of a job that this daemon took over. Where none was stored,
 // tasks may still have started.
 func takenOverProgress(r ledger.Record) []coordinator.Progress {
-	if len(r.Tasks) > 0 {
-		return r.Tasks
+	if len(r.Progress) > 0 {
+		return r.Progress
 	}
 	tasks := 0
 	for _, s := range r.Job.Steps {
@@ -175,7 +175,7 @@
 		n.durable.states.put(s.GetJob(), knownState{state, p.Incarnation, now}, n.config.Retention)
 		if state == ledger.Canceled && n.durable.ledger.Has(s.GetJob()) {
 			n.coordinator.Cancel(now, s.GetJob())
-			n.durable.ledger.End(now, s.GetJob(), state)
+			n.durable.ledger.SetFinalState(now, s.GetJob(), state)
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -293,7 +293,7 @@
 		}
 	}
 	for _, id := range e.DroppedWorkers {
-		n.platform.Workers.Forget(id)
+		n.platform.Workers.CloseConnections(id)
 	}
 	n.sendReports(now, e.Reports)
 	for _, t := range e.Takeovers {
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -7,8 +7,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxMessage bounds one message; a handover of answers is sent in parts below it.
-const MaxMessage = 32 << 20
+// MaxMessageBytes bounds one message; a handover of answers is sent in parts below it.
+const MaxMessageBytes = 32 << 20
 
 var errTooLarge = errors.New("message too large")
 
@@ -18,7 +18,7 @@
 	if err != nil {
 		return err
 	}
-	if len(b) > MaxMessage {
+	if len(b) > MaxMessageBytes {
 		return errTooLarge
 	}
 	_, err = w.Write(b)
@@ -27,11 +27,11 @@
 
 // readMessage reads a message up to the end of the stream.
 func readMessage(r io.Reader, m proto.Message) error {
-	b, err := io.ReadAll(io.LimitReader(r, MaxMessage+1))
+	b, err := io.ReadAll(io.LimitReader(r, MaxMessageBytes+1))
 	if err != nil {
 		return err
 	}
-	if len(b) > MaxMessage {
+	if len(b) > MaxMessageBytes {
 		return errTooLarge
 	}
 	return proto.Unmarshal(b, m)
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -18,8 +18,8 @@
 	PacketsReceived uint64
 }
 
-// Plus returns the sum.
-func (t Traffic) Plus(o Traffic) Traffic {
+// Add returns the sum.
+func (t Traffic) Add(o Traffic) Traffic {
 	return Traffic{
 		BytesSent:       t.BytesSent + o.BytesSent,
 		BytesReceived:   t.BytesReceived + o.BytesReceived,
@@ -57,7 +57,7 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		delete(m.open, c)
-		m.ended = m.ended.Plus(trafficOf(c))
+		m.ended = m.ended.Add(trafficOf(c))
 	})
 }
 
@@ -67,7 +67,7 @@
 	defer m.mu.Unlock()
 	t := m.ended
 	for c := range m.open {
-		t = t.Plus(trafficOf(c))
+		t = t.Add(trafficOf(c))
 	}
 	return t
 }
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -38,8 +38,8 @@
 	ParamAfter = "after"
 	// ParamWait is the longest wait in milliseconds.
 	ParamWait = "wait_ms"
-	// MaxValue is the largest value in bytes.
-	MaxValue = 1 << 20
+	// MaxValueBytes is the largest value in bytes.
+	MaxValueBytes = 1 << 20
 )
 
 // Value is a value with the revision of its key. The revision counts the writes of
@@ -172,7 +172,7 @@
 		return nil, errors.Mark(errors.Wrap(err, "calling the platform"), ErrUnavailable)
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, 2*MaxValue))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, 2*MaxValueBytes))
 	if err != nil {
 		return nil, errors.Mark(errors.Wrap(err, "reading the platform's answer"), ErrUnavailable)
 	}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -175,12 +175,12 @@
 	if e == nil || e.end != 0 {
 		return
 	}
-	e.record.Tasks, e.version = tasks, version
+	e.record.Progress, e.version = tasks, version
 	l.enqueue(id, now+progressDelay)
 }
 
-// End notes the end of a job.
-func (l *Ledger) End(now time.Duration, id string, s State) {
+// SetFinalState notes the end of a job.
+func (l *Ledger) SetFinalState(now time.Duration, id string, s State) {
 	e := l.jobs[id]
 	if e == nil || e.end != 0 {
 		return
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -46,8 +46,8 @@
 	Route string
 	// Owner is the incarnation of the daemon that brings it to its end.
 	Owner uint64
-	// Tasks is the progress, step after step; empty before the first.
-	Tasks []coordinator.Progress
+	// Progress is the progress, step after step; empty before the first.
+	Progress []coordinator.Progress
 }
 
 // Encode returns the record as it is stored.
@@ -66,7 +66,7 @@
 		}
 		k.Steps = append(k.Steps, step)
 	}
-	for _, t := range r.Tasks {
+	for _, t := range r.Progress {
 		k.Tasks = append(k.Tasks, &schema.KeptTask{Done: t.Done, FailedRuns: t.FailedRuns, Run: t.LastRun})
 	}
 	return encode(k)
@@ -96,10 +96,10 @@
 		r.Job.Steps = append(r.Job.Steps, step)
 	}
 	for _, t := range k.GetTasks() {
-		r.Tasks = append(r.Tasks, coordinator.Progress{Done: t.GetDone(), FailedRuns: t.GetFailedRuns(), LastRun: t.GetRun()})
+		r.Progress = append(r.Progress, coordinator.Progress{Done: t.GetDone(), FailedRuns: t.GetFailedRuns(), LastRun: t.GetRun()})
 	}
-	if len(r.Tasks) > 0 && len(r.Tasks) != tasks {
-		return r, errors.Newf("kept job %s: progress of %d tasks for %d", r.Job.ID, len(r.Tasks), tasks)
+	if len(r.Progress) > 0 && len(r.Progress) != tasks {
+		return r, errors.Newf("kept job %s: progress of %d tasks for %d", r.Job.ID, len(r.Progress), tasks)
 	}
 	return r, nil
 }
--- a/ledger/store.go
+++ b/ledger/store.go
@@ -14,13 +14,13 @@
 	ErrOutcomeUnknown = errors.New("unknown whether written")
 )
 
-// Kind is the kind of an entry.
-type Kind uint8
+// EntryKind is the kind of an entry.
+type EntryKind uint8
 
 // Kinds of entries.
 const (
 	// RecordEntry: a job that has not ended, by the job's ID.
-	RecordEntry Kind = iota + 1
+	RecordEntry EntryKind = iota + 1
 	// StateEntry: the state of a job, by the job's ID.
 	StateEntry
 	// OwnershipEntry: an owner's title, by the owner's name.
@@ -29,7 +29,7 @@
 
 // Key names an entry.
 type Key struct {
-	Kind Kind
+	Kind EntryKind
 	ID   string
 }
 
@@ -67,5 +67,5 @@
 	// Get reads one entry; its revision is 0 when there is none.
 	Get(ctx context.Context, k Key) (Entry, error)
 	// List reads all entries of a kind. What changes meanwhile may be shown or not.
-	List(ctx context.Context, k Kind) ([]Entry, error)
+	List(ctx context.Context, k EntryKind) ([]Entry, error)
 }
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -78,7 +78,7 @@
 	}
 	if b.balance <= 0 {
 		return verdict.New(verdict.NotRun, verdict.OverQuota,
-			"team %s exceeds its quota: this entry's share is %.1f task starts per second", team, b.rate).After(b.retryAfter(starts))
+			"team %s exceeds its quota: this entry's share is %.1f task starts per second", team, b.rate).WithRetryAfter(b.retryAfter(starts))
 	}
 	b.balance -= float64(starts)
 	return nil
--- a/sched/admit.go
+++ b/sched/admit.go
@@ -27,7 +27,7 @@
 	case !fits && len(s.workerList) > 0:
 		return verdict.New(verdict.NotRun, verdict.CannotRun, "no worker has %d CPUs, %d MB of memory and %d accelerators in the failure domains where kind %q may run", j.Needs.CPUs, j.Needs.MemoryMB, j.Needs.Accelerators, j.Kind)
 	case !usable:
-		return verdict.New(verdict.NotRun, verdict.NoWorkers, "no worker is available now").After(noWorkersRetryAfter)
+		return verdict.New(verdict.NotRun, verdict.NoWorkers, "no worker is available now").WithRetryAfter(noWorkersRetryAfter)
 	case now >= j.Deadline:
 		return verdict.New(verdict.NotRun, verdict.DeadlineExceeded, "the deadline passed %s before the job was submitted", (now - j.Deadline).Round(time.Millisecond))
 	case k.times.learned() && k.times.mean > j.Deadline-now:
@@ -35,7 +35,7 @@
 	}
 	if late := s.lateBy(now, j, k); late > 0 {
 		after := min(max(late, minRetryAfter), maxRetryAfter)
-		return verdict.New(verdict.NotRun, verdict.Overloaded, "the jobs ahead take %s too long for this job's deadline", late.Round(time.Millisecond)).After(after)
+		return verdict.New(verdict.NotRun, verdict.Overloaded, "the jobs ahead take %s too long for this job's deadline", late.Round(time.Millisecond)).WithRetryAfter(after)
 	}
 	return nil
 }
--- a/sched/stop.go
+++ b/sched/stop.go
@@ -22,6 +22,6 @@
 // Stop ends every job with the reason Stopping. Use it when the embedder must stop now.
 func (s *Scheduler) Stop() {
 	for _, j := range s.jobs {
-		s.failJob(j, verdict.New(j.verdict(), verdict.Stopping, "the entry stopped with %d of %d tasks complete", j.completed, j.Tasks).After(time.Second))
+		s.failJob(j, verdict.New(j.verdict(), verdict.Stopping, "the entry stopped with %d of %d tasks complete", j.completed, j.Tasks).WithRetryAfter(time.Second))
 	}
 }
--- a/submission/table.go
+++ b/submission/table.go
@@ -174,7 +174,7 @@
 	}
 	if t.bytes.Load() >= t.config.MaxBytes {
 		return nil, false, verdict.New(verdict.MayHaveRun, verdict.AnswersFull,
-			"kept answers have %d bytes of at most %d; this request started nothing; retry later", t.bytes.Load(), t.config.MaxBytes).After(t.config.Retention / 8)
+			"kept answers have %d bytes of at most %d; this request started nothing; retry later", t.bytes.Load(), t.config.MaxBytes).WithRetryAfter(t.config.Retention / 8)
 	}
 	r := &Record{ID: id.String(), Team: team, Digest: digest, mintedAt: id.MintedAt, done: make(chan struct{})}
 	s.records[r.ID] = r
--- a/verdict/doc.go
+++ b/verdict/doc.go
@@ -6,5 +6,5 @@
 // caller as "not run".
 //
 // To embed it, return New or Wrap from each step that can fail, repeat a step only on
-// NotRun, and pass errors of unknown origin through Of, which assumes the worst.
+// NotRun, and pass errors of unknown origin through FromError, which assumes the worst.
 package verdict
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -49,8 +49,8 @@
 	return f
 }
 
-// After returns a copy of the failure that tells the caller when to come back.
-func (f *Failure) After(d time.Duration) *Failure {
+// WithRetryAfter returns a copy of the failure that tells the caller when to come back.
+func (f *Failure) WithRetryAfter(d time.Duration) *Failure {
 	c := *f
 	c.RetryAfter = d
 	return &c
@@ -67,9 +67,9 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.cause }
 
-// Of returns the failure in err's chain. An error without one is MayHaveRun with
+// FromError returns the failure in err's chain. An error without one is MayHaveRun with
 // reason Internal, for nothing is known about it.
-func Of(err error) *Failure {
+func FromError(err error) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
 		return f
@@ -77,8 +77,8 @@
 	return Wrap(err, MayHaveRun, Internal, "internal error")
 }
 
-// Resubmit says whether a new submission of the same job is harmless.
-func (f *Failure) Resubmit(idempotent bool) string {
+// ResubmitSafety says whether a new submission of the same job is harmless.
+func (f *Failure) ResubmitSafety(idempotent bool) string {
 	if f.Verdict == NotRun || idempotent {
 		return "safe"
 	}
