--- a/config/diff.go
+++ b/config/diff.go
@@ -11,7 +11,7 @@
 )
 
 // shownHash is how many digits of a token's hash a plan shows.
-const shownHash = 8
+const shownHashDigits = 8
 
 // Diff returns the fields that differ, sorted by name. Revision and history are left
 // out, for every plan changes them.
@@ -80,12 +80,12 @@
 func valueText(f protoreflect.FieldDescriptor, v protoreflect.Value) string {
 	if f.Enum() != nil {
 		if named := f.Enum().Values().ByNumber(v.Enum()); named != nil {
-			return shortEnum(f.Enum(), named)
+			return shortEnumName(f.Enum(), named)
 		}
 	}
 	text := fmt.Sprint(v.Interface())
-	if f.Name() == "token_sha256" && len(text) > shownHash {
-		return text[:shownHash] + "..."
+	if f.Name() == "token_sha256" && len(text) > shownHashDigits {
+		return text[:shownHashDigits] + "..."
 	}
 	return text
 }
--- a/config/effects.go
+++ b/config/effects.go
@@ -23,20 +23,20 @@
 // ComputeEffects tells what follows from a change of the document.
 func ComputeEffects(before, after *schema.Config, vms []*schema.Vm, load FleetLoad) schema.Effects {
 	b, a := NewIndex(before), NewIndex(after)
-	e := schema.Effects{
+	effects := schema.Effects{
 		Domains:             domainEffects(b, a, vms),
 		Running:             int64(load.Running),
 		Waiting:             int64(load.Waiting),
-		KindsWithoutWorkers: kindsLeft(b, a, vms),
+		KindsWithoutWorkers: kindsWithoutWorkers(b, a, vms),
 	}
 	for _, vm := range vms {
 		if isWorker(vm) && a.Drained(vm) && !b.Drained(vm) {
-			e.RunningThere += int64(load.RunningByWorker[vm.GetAddress()])
+			effects.RunningThere += int64(load.RunningByWorker[vm.GetAddress()])
 		}
 	}
-	e.SqueezedTeams = squeezedTeams(before, after, e.Domains, load)
-	e.Warnings = warnings(before, after, vms, load)
-	return e
+	effects.SqueezedTeams = squeezedTeams(before, after, effects.Domains, load)
+	effects.Warnings = warnings(before, after, vms, load)
+	return effects
 }
 
 func isWorker(vm *schema.Vm) bool { return vm.GetRole() == schema.VmRole_VM_ROLE_WORKER }
@@ -45,34 +45,34 @@
 func domainEffects(before, after *Index, vms []*schema.Vm) []schema.DomainEffect {
 	byName := make(map[string]*schema.DomainEffect)
 	for _, vm := range vms {
-		d := byName[vm.GetDomain()]
-		if d == nil {
-			d = &schema.DomainEffect{Domain: vm.GetDomain()}
-			byName[vm.GetDomain()] = d
+		effect := byName[vm.GetDomain()]
+		if effect == nil {
+			effect = &schema.DomainEffect{Domain: vm.GetDomain()}
+			byName[vm.GetDomain()] = effect
 		}
 		if vm.GetLeaving() {
 			continue
 		}
-		count(vm, before, &d.WorkersBefore, &d.SlotsBefore, &d.EntriesBefore)
-		count(vm, after, &d.WorkersAfter, &d.SlotsAfter, &d.EntriesAfter)
+		countVM(vm, before, &effect.WorkersBefore, &effect.SlotsBefore, &effect.EntriesBefore)
+		countVM(vm, after, &effect.WorkersAfter, &effect.SlotsAfter, &effect.EntriesAfter)
 	}
 	list := make([]schema.DomainEffect, 0, len(byName))
-	for _, d := range byName {
-		list = append(list, *d)
+	for _, effect := range byName {
+		list = append(list, *effect)
 	}
 	slices.SortFunc(list, func(a, b schema.DomainEffect) int { return strings.Compare(a.Domain, b.Domain) })
 	return list
 }
 
-func count(vm *schema.Vm, x *Index, workers, slots, entries *int64) {
+func countVM(vm *schema.Vm, index *Index, workers, slots, entries *int64) {
 	switch vm.GetRole() {
 	case schema.VmRole_VM_ROLE_WORKER:
-		if !x.Drained(vm) {
+		if !index.Drained(vm) {
 			*workers++
 			*slots += int64(vm.GetSlots())
 		}
 	case schema.VmRole_VM_ROLE_ENTRY:
-		if !x.Retired(vm.GetDomain()) {
+		if !index.Retired(vm.GetDomain()) {
 			*entries++
 		}
 	}
@@ -80,22 +80,22 @@
 
 // kindsLeft returns the kinds that no worker may run after the change, but for those
 // that the change doesn't touch and that no worker could run before either.
-func kindsLeft(before, after *Index, vms []*schema.Vm) []string {
-	var left []string
+func kindsWithoutWorkers(before, after *Index, vms []*schema.Vm) []string {
+	var kinds []string
 	for name, kind := range after.doc.GetKinds() {
 		old := before.Kind(name)
 		if !hasWorker(after, kind, vms) && (old == nil || hasWorker(before, old, vms)) {
-			left = append(left, name)
+			kinds = append(kinds, name)
 		}
 	}
-	slices.Sort(left)
-	return left
+	slices.Sort(kinds)
+	return kinds
 }
 
 // hasWorker tells whether any worker may get tasks of a kind.
-func hasWorker(x *Index, kind *schema.Kind, vms []*schema.Vm) bool {
+func hasWorker(index *Index, kind *schema.Kind, vms []*schema.Vm) bool {
 	return slices.ContainsFunc(vms, func(vm *schema.Vm) bool {
-		return isWorker(vm) && !vm.GetLeaving() && !x.Drained(vm) && mayRunIn(kind, vm.GetDomain()) && fits(kind.GetNeeds(), vm.GetResources())
+		return isWorker(vm) && !vm.GetLeaving() && !index.Drained(vm) && mayRunIn(kind, vm.GetDomain()) && fits(kind.GetNeeds(), vm.GetResources())
 	})
 }
 
@@ -113,12 +113,12 @@
 	for _, d := range domains {
 		slots += d.SlotsAfter
 	}
-	short := int64(load.Running+load.Waiting) > slots
+	tooFewSlots := int64(load.Running+load.Waiting) > slots
 	var list []schema.TeamEffect
 	for name, rate := range load.TeamRates {
 		old, team := before.GetTeams()[name], after.GetTeams()[name]
 		quota := int64(team.GetStartsPerSecond())
-		t := schema.TeamEffect{
+		effect := schema.TeamEffect{
 			Team: name, StartsPerSecondNow: int64(rate),
 			QuotaBefore: int64(old.GetStartsPerSecond()), QuotaAfter: quota,
 		}
@@ -126,15 +126,15 @@
 		case rate == 0:
 			continue
 		case team == nil:
-			t.Why = "the team is removed"
+			effect.Why = "the team is removed"
 		case quota > 0 && quota < int64(rate):
-			t.Why = "uses more than the quota"
-		case short:
-			t.Why = fmt.Sprintf("%d tasks run or wait, %d slots are left", load.Running+load.Waiting, slots)
+			effect.Why = "uses more than the quota"
+		case tooFewSlots:
+			effect.Why = fmt.Sprintf("%d tasks run or wait, %d slots are left", load.Running+load.Waiting, slots)
 		default:
 			continue
 		}
-		list = append(list, t)
+		list = append(list, effect)
 	}
 	slices.SortFunc(list, func(a, b schema.TeamEffect) int { return strings.Compare(a.Team, b.Team) })
 	return list
@@ -142,39 +142,39 @@
 
 // warnings names what is legal but may be a slip.
 func warnings(before, after *schema.Config, vms []*schema.Vm, load FleetLoad) []string {
-	workers, racks, domains := listed(vms)
-	var w []string
-	unlisted := func(what string, before, after []string, known map[string]bool) {
+	workers, racks, domains := listedNames(vms)
+	var list []string
+	warnUnlisted := func(what string, before, after []string, known map[string]bool) {
 		for _, name := range after {
 			if !known[name] && !slices.Contains(before, name) {
-				w = append(w, fmt.Sprintf("%s %s is not in the VM list", what, name))
+				list = append(list, fmt.Sprintf("%s %s is not in the VM list", what, name))
 			}
 		}
 	}
-	unlisted("worker", before.GetDrainedWorkers(), after.GetDrainedWorkers(), workers)
-	unlisted("rack", before.GetDrainedRacks(), after.GetDrainedRacks(), racks)
-	unlisted("failure domain", before.GetRetiredDomains(), after.GetRetiredDomains(), domains)
+	warnUnlisted("worker", before.GetDrainedWorkers(), after.GetDrainedWorkers(), workers)
+	warnUnlisted("rack", before.GetDrainedRacks(), after.GetDrainedRacks(), racks)
+	warnUnlisted("failure domain", before.GetRetiredDomains(), after.GetRetiredDomains(), domains)
 	kinds := make(map[string]bool)
 	for name, k := range after.GetKinds() {
 		kinds[name] = true
-		unlisted("kind "+name+": failure domain", before.GetKinds()[name].GetDomains(), k.GetDomains(), domains)
+		warnUnlisted("kind "+name+": failure domain", before.GetKinds()[name].GetDomains(), k.GetDomains(), domains)
 	}
 	for _, name := range after.GetHeldKinds() {
 		if !kinds[name] {
-			w = append(w, fmt.Sprintf("held kind %s is not in the configuration", name))
+			list = append(list, fmt.Sprintf("held kind %s is not in the configuration", name))
 		}
 	}
 	if len(vms) == 0 {
-		w = append(w, "the asked entry has no VM list yet; workers and slots are unknown")
+		list = append(list, "the asked entry has no VM list yet; workers and slots are unknown")
 	}
 	if len(load.Unreachable) > 0 {
-		w = append(w, "no answer about work in flight from "+strings.Join(load.Unreachable, ", "))
+		list = append(list, "no answer about work in flight from "+strings.Join(load.Unreachable, ", "))
 	}
-	slices.Sort(w)
-	return w
+	slices.Sort(list)
+	return list
 }
 
-func listed(vms []*schema.Vm) (workers, racks, domains map[string]bool) {
+func listedNames(vms []*schema.Vm) (workers, racks, domains map[string]bool) {
 	workers, racks, domains = make(map[string]bool), make(map[string]bool), make(map[string]bool)
 	for _, vm := range vms {
 		domains[vm.GetDomain()] = true
--- a/config/index.go
+++ b/config/index.go
@@ -12,14 +12,14 @@
 // after it is made, so it is safe for concurrent use.
 type Index struct {
 	doc   *schema.Config
-	teams map[string]string
+	teamsByHash map[string]string
 }
 
 // NewIndex returns the index of a document, which must not be changed afterwards.
 func NewIndex(c *schema.Config) *Index {
-	x := &Index{doc: c, teams: make(map[string]string, len(c.GetTeams()))}
+	x := &Index{doc: c, teamsByHash: make(map[string]string, len(c.GetTeams()))}
 	for name, t := range c.GetTeams() {
-		x.teams[t.GetTokenSha256()] = name
+		x.teamsByHash[t.GetTokenSha256()] = name
 	}
 	return x
 }
@@ -33,7 +33,7 @@
 // TeamOf returns the team that holds a token. The lookup is by the token's hash, so
 // its time tells nothing about the tokens of other teams.
 func (x *Index) TeamOf(token string) (name string, ok bool) {
-	name, ok = x.teams[HashToken(token)]
+	name, ok = x.teamsByHash[HashToken(token)]
 	return name, ok
 }
 
--- a/config/intent.go
+++ b/config/intent.go
@@ -45,7 +45,7 @@
 )
 
 // maxDescription bounds an intent's description in the document's history.
-const maxDescription = 200
+const maxDescriptionBytes = 200
 
 // Describe returns an intent in one line, for the history. Token hashes are left out.
 func Describe(i schema.Intent) string {
@@ -63,8 +63,8 @@
 		words = append(words, "(forced)")
 	}
 	line := strings.Join(words, " ")
-	if len(line) > maxDescription {
-		line = line[:maxDescription] + "..."
+	if len(line) > maxDescriptionBytes {
+		line = line[:maxDescriptionBytes] + "..."
 	}
 	return strings.ToValidUTF8(line, "?")
 }
@@ -89,34 +89,34 @@
 	case Restore:
 		return nil
 	case DrainWorker:
-		return add(&doc.DrainedWorkers, "worker", i.Target)
+		return addTarget(&doc.DrainedWorkers, "worker", i.Target)
 	case UndrainWorker:
-		return remove(&doc.DrainedWorkers, "drained worker", i.Target)
+		return removeTarget(&doc.DrainedWorkers, "drained worker", i.Target)
 	case DrainRack:
 		if !strings.Contains(i.Target, "/") {
 			return errors.Newf("rack %q is not of the form domain/rack", i.Target)
 		}
-		return add(&doc.DrainedRacks, "rack", i.Target)
+		return addTarget(&doc.DrainedRacks, "rack", i.Target)
 	case UndrainRack:
-		return remove(&doc.DrainedRacks, "drained rack", i.Target)
+		return removeTarget(&doc.DrainedRacks, "drained rack", i.Target)
 	case RetireDomain:
-		return add(&doc.RetiredDomains, "failure domain", i.Target)
+		return addTarget(&doc.RetiredDomains, "failure domain", i.Target)
 	case ReinstateDomain:
-		return remove(&doc.RetiredDomains, "retired failure domain", i.Target)
+		return removeTarget(&doc.RetiredDomains, "retired failure domain", i.Target)
 	case SetLimits:
 		return setFields(doc.Limits, i.Settings)
 	case SetKind:
-		return setIn(&doc.Kinds, i.Target, &schema.Kind{}, i.Settings)
+		return setNamed(&doc.Kinds, i.Target, &schema.Kind{}, i.Settings)
 	case RemoveKind:
-		return removeFrom(doc.Kinds, "kind", i.Target)
+		return removeNamed(doc.Kinds, "kind", i.Target)
 	case HoldKind:
-		return add(&doc.HeldKinds, "kind", i.Target)
+		return addTarget(&doc.HeldKinds, "kind", i.Target)
 	case ResumeKind:
-		return remove(&doc.HeldKinds, "held kind", i.Target)
+		return removeTarget(&doc.HeldKinds, "held kind", i.Target)
 	case SetTeam:
-		return setIn(&doc.Teams, i.Target, &schema.Team{}, i.Settings)
+		return setNamed(&doc.Teams, i.Target, &schema.Team{}, i.Settings)
 	case RemoveTeam:
-		return removeFrom(doc.Teams, "team", i.Target)
+		return removeNamed(doc.Teams, "team", i.Target)
 	}
 	return errors.Newf("there is no intent %q", i.Action)
 }
@@ -137,7 +137,7 @@
 	return nil
 }
 
-func add(list *[]string, what, target string) error {
+func addTarget(list *[]string, what, target string) error {
 	if target == "" {
 		return errors.Newf("name the %s", what)
 	}
@@ -149,16 +149,16 @@
 	return nil
 }
 
-func remove(list *[]string, what, target string) error {
+func removeTarget(list *[]string, what, target string) error {
 	at := slices.Index(*list, target)
 	if at < 0 {
-		return errors.Newf("there is no %s %q; there is: %s", what, target, orNone(*list))
+		return errors.Newf("there is no %s %q; there is: %s", what, target, listOrNone(*list))
 	}
 	*list = slices.Delete(*list, at, at+1)
 	return nil
 }
 
-func orNone(list []string) string {
+func listOrNone(list []string) string {
 	if len(list) == 0 {
 		return "none"
 	}
@@ -166,7 +166,7 @@
 }
 
 // setIn sets fields of a named message, which is made if it isn't there.
-func setIn[M proto.Message](m *map[string]M, name string, empty M, settings []string) error {
+func setNamed[M proto.Message](m *map[string]M, name string, empty M, settings []string) error {
 	if name == "" {
 		return errors.New("name what to set")
 	}
@@ -181,7 +181,7 @@
 	return setFields(target, settings)
 }
 
-func removeFrom[M any](m map[string]M, what, name string) error {
+func removeNamed[M any](m map[string]M, what, name string) error {
 	if _, ok := m[name]; !ok {
 		return fmt.Errorf("there is no %s %q", what, name)
 	}
--- a/config/plan.go
+++ b/config/plan.go
@@ -63,7 +63,7 @@
 // Error implements error.
 func (r *Refusal) Error() string { return fmt.Sprintf("%s: %s", r.Reason, r.Message) }
 
-func refuse(r Reason, format string, args ...any) *Refusal {
+func newRefusal(r Reason, format string, args ...any) *Refusal {
 	return &Refusal{Reason: r, Message: fmt.Sprintf(format, args...)}
 }
 
@@ -96,15 +96,15 @@
 		err = Validate(after)
 	}
 	if err != nil {
-		return nil, refuse(BadIntent, "%v", err)
+		return nil, newRefusal(BadIntent, "%v", err)
 	}
 	// A first document may bring a revision of its own, see Init.
 	after.Revision = max(base.GetRevision(), after.GetRevision()) + 1
-	s := &Update{Before: base, After: after}
+	update := &Update{Before: base, After: after}
 	if Action(i.Action) != Restore && len(Diff(base, after)) == 0 {
-		return nil, refuse(BadIntent, "nothing would change")
+		return nil, newRefusal(BadIntent, "nothing would change")
 	}
-	return s, nil
+	return update, nil
 }
 
 // CheckEffects refuses a change that leaves work with nowhere to run, unless forced.
@@ -113,7 +113,7 @@
 		return nil
 	}
 	if len(e.KindsWithoutWorkers) > 0 {
-		return refuse(NowhereToRun, "no worker would be left for: %s; add --force to do it all the same", strings.Join(e.KindsWithoutWorkers, ", "))
+		return newRefusal(NowhereToRun, "no worker would be left for: %s; add --force to do it all the same", strings.Join(e.KindsWithoutWorkers, ", "))
 	}
 	before, after := int64(0), int64(0)
 	for _, d := range e.Domains {
@@ -121,27 +121,27 @@
 		after += d.EntriesAfter
 	}
 	if before > 0 && after == 0 {
-		return refuse(NowhereToRun, "no entry would accept new work; add --force to do it all the same")
+		return newRefusal(NowhereToRun, "no entry would accept new work; add --force to do it all the same")
 	}
 	return nil
 }
 
 // AddToHistory adds an applied plan to the step's document.
-func (s *Update) AddToHistory(id, operator string, i schema.Intent, unixMS int64) {
-	plans := append(s.After.GetRecentPlans(), &schema.AppliedPlan{
-		Id: id, Revision: s.After.GetRevision(), Operator: operator, Intent: Describe(i), ConfirmedUnixMs: unixMS,
+func (u *Update) AddToHistory(id, operator string, i schema.Intent, unixMS int64) {
+	plans := append(u.After.GetRecentPlans(), &schema.AppliedPlan{
+		Id: id, Revision: u.After.GetRevision(), Operator: operator, Intent: Describe(i), ConfirmedUnixMs: unixMS,
 	})
-	if over := len(plans) - MaxRecentPlans; over > 0 {
-		plans = plans[over:]
+	if excess := len(plans) - MaxRecentPlans; excess > 0 {
+		plans = plans[excess:]
 	}
-	s.After.RecentPlans = plans
+	u.After.RecentPlans = plans
 }
 
 // CheckConfirmation refuses a confirmation whose identifier is not that of its
 // contents.
 func CheckConfirmation(c schema.Confirmation) *Refusal {
 	if c.Nonce == "" || PlanID(c.Intent, c.BaseRevision, c.Nonce) != c.Id {
-		return refuse(BadPlan, "identifier and contents of the plan don't belong together; plan again")
+		return newRefusal(BadPlan, "identifier and contents of the plan don't belong together; plan again")
 	}
 	return nil
 }
@@ -162,7 +162,7 @@
 	if c.GetRevision() == base {
 		return nil
 	}
-	r := refuse(BaseRevisionChanged, "the plan was made for revision %d and revision %d is in force; plan again", base, c.GetRevision())
+	r := newRefusal(BaseRevisionChanged, "the plan was made for revision %d and revision %d is in force; plan again", base, c.GetRevision())
 	for _, h := range HistoryOf(c).Plans {
 		if h.Revision > base {
 			r.AppliedSince = append(r.AppliedSince, h)
--- a/config/settings.go
+++ b/config/settings.go
@@ -97,7 +97,7 @@
 	var accepted []string
 	for i := range enum.Values().Len() {
 		v := enum.Values().Get(i)
-		name := shortEnum(enum, v)
+		name := shortEnumName(enum, v)
 		if v.Number() == 0 {
 			continue
 		}
@@ -109,7 +109,7 @@
 	return protoreflect.Value{}, errors.Newf("accepted are %s", strings.Join(accepted, ", "))
 }
 
-func shortEnum(enum protoreflect.EnumDescriptor, v protoreflect.EnumValueDescriptor) string {
+func shortEnumName(enum protoreflect.EnumDescriptor, v protoreflect.EnumValueDescriptor) string {
 	prefix := strings.ToLower(string(enum.Name())) + "_"
 	return strings.TrimPrefix(strings.ToLower(string(v.Name())), prefix)
 }
--- a/config/validate.go
+++ b/config/validate.go
@@ -23,83 +23,83 @@
 	// 1 MiB, and the rest is for the history.
 	MaxDocumentBytes = 960 << 10
 	// maxName is the longest name of a kind, team or drained VM in bytes.
-	maxName = 200
+	maxNameBytes = 200
 )
 
 // Validate returns an error that names every fault of the document.
 func Validate(c *schema.Config) error {
-	var faults []string
-	fault := func(format string, args ...any) { faults = append(faults, fmt.Sprintf(format, args...)) }
-	checkLimits(c.GetLimits(), fault)
+	var problems []string
+	report := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
+	checkLimits(c.GetLimits(), report)
 	for name, k := range c.GetKinds() {
-		checkKind(name, k, c.GetLimits(), fault)
+		checkKind(name, k, c.GetLimits(), report)
 	}
-	checkTeams(c.GetTeams(), fault)
-	checkNames(c, fault)
+	checkTeams(c.GetTeams(), report)
+	checkNames(c, report)
 	if n := proto.Size(c); n > MaxDocumentBytes {
-		fault("the document has %d bytes, accepted are up to %d", n, MaxDocumentBytes)
+		report("the document has %d bytes, accepted are up to %d", n, MaxDocumentBytes)
 	}
-	if len(faults) == 0 {
+	if len(problems) == 0 {
 		return nil
 	}
-	slices.Sort(faults)
-	return errors.Newf("invalid configuration: %s", strings.Join(faults, "; "))
+	slices.Sort(problems)
+	return errors.Newf("invalid configuration: %s", strings.Join(problems, "; "))
 }
 
-type faultFunc func(format string, args ...any)
+type reportFunc func(format string, args ...any)
 
-func checkLimits(l *schema.Limits, fault faultFunc) {
+func checkLimits(l *schema.Limits, report reportFunc) {
 	if n := l.GetMaxTasks(); n < 1 || n > MaxTasks {
-		fault("limits.max_tasks is %d, accepted are 1 to %d", n, MaxTasks)
+		report("limits.max_tasks is %d, accepted are 1 to %d", n, MaxTasks)
 	}
 	if n := l.GetMaxBodyBytes(); n < 1 || n > MaxBodyBytes {
-		fault("limits.max_body_bytes is %d, accepted are 1 to %d", n, MaxBodyBytes)
+		report("limits.max_body_bytes is %d, accepted are 1 to %d", n, MaxBodyBytes)
 	}
 	if n := l.GetMaxDeadlineMs(); n < 1 || n > MaxDeadlineMS {
-		fault("limits.max_deadline_ms is %d, accepted are 1 to %d", n, MaxDeadlineMS)
+		report("limits.max_deadline_ms is %d, accepted are 1 to %d", n, MaxDeadlineMS)
 	}
 }
 
-func checkKind(name string, k *schema.Kind, l *schema.Limits, fault faultFunc) {
+func checkKind(name string, k *schema.Kind, l *schema.Limits, report reportFunc) {
 	if name == "" {
-		fault("a kind has no name")
+		report("a kind has no name")
 	}
 	if !strings.HasPrefix(k.GetPath(), "/") {
-		fault("kind %q: path %q does not start with /", name, k.GetPath())
+		report("kind %q: path %q does not start with /", name, k.GetPath())
 	}
 	if n := k.GetDeadlineMs(); n < 1 || n > l.GetMaxDeadlineMs() {
-		fault("kind %q: deadline_ms is %d, accepted are 1 to %d", name, n, l.GetMaxDeadlineMs())
+		report("kind %q: deadline_ms is %d, accepted are 1 to %d", name, n, l.GetMaxDeadlineMs())
 	}
 	if _, known := schema.Urgency_name[int32(k.GetUrgency())]; !known {
-		fault("kind %q: there is no urgency %d", name, k.GetUrgency())
+		report("kind %q: there is no urgency %d", name, k.GetUrgency())
 	}
 	if k.GetOneCall() && !k.GetIdempotent() {
-		fault("kind %q: one_call needs idempotent, for a repeated call makes a second submission", name)
+		report("kind %q: one_call needs idempotent, for a repeated call makes a second submission", name)
 	}
 }
 
-func checkTeams(teams map[string]*schema.Team, fault faultFunc) {
-	holders := make(map[string]string)
+func checkTeams(teams map[string]*schema.Team, report reportFunc) {
+	teamsByToken := make(map[string]string)
 	for name, t := range teams {
 		if name == "" {
-			fault("a team has no name")
+			report("a team has no name")
 		}
 		token := t.GetTokenSha256()
 		if !IsTokenHash(token) {
-			fault("team %q: token_sha256 is not 64 hexadecimal digits in lower case", name)
+			report("team %q: token_sha256 is not 64 hexadecimal digits in lower case", name)
 		}
-		if other, ok := holders[token]; ok {
-			fault("teams %q and %q have the same token", name, other)
+		if other, ok := teamsByToken[token]; ok {
+			report("teams %q and %q have the same token", name, other)
 		}
-		holders[token] = name
+		teamsByToken[token] = name
 	}
 }
 
 // checkNames checks the names that operators choose.
-func checkNames(c *schema.Config, fault faultFunc) {
+func checkNames(c *schema.Config, report reportFunc) {
 	check := func(what, name string) {
-		if len(name) > maxName || !utf8.ValidString(name) {
-			fault("%s %.40q: names are UTF-8 of up to %d bytes", what, name, maxName)
+		if len(name) > maxNameBytes || !utf8.ValidString(name) {
+			report("%s %.40q: names are UTF-8 of up to %d bytes", what, name, maxNameBytes)
 		}
 	}
 	for name := range c.GetKinds() {
--- a/ledger/heir.go
+++ b/ledger/heir.go
@@ -15,21 +15,21 @@
 // Successor returns the member that looks after something whose owner is gone (rendezvous
 // hashing). Members with equal views agree on it; where they don't, the conditions of
 // the writes decide.
-func Successor(of string, members []member.Process) (heir member.Process) {
+func Successor(key string, members []member.Process) (successor member.Process) {
 	var best uint64
 	for _, m := range members {
 		var b [8]byte
 		binary.LittleEndian.PutUint64(b[:], m.Incarnation)
 		var d xxhash.Digest
 		d.Reset()
-		_, _ = d.WriteString(of)
+		_, _ = d.WriteString(key)
 		_, _ = d.WriteString(m.Address.String())
 		_, _ = d.Write(b[:])
 		if r := d.Sum64(); r >= best {
-			best, heir = r, m
+			best, successor = r, m
 		}
 	}
-	return heir
+	return successor
 }
 
 // EncodeOwnership returns a title as it is stored.
@@ -48,6 +48,6 @@
 }
 
 // OwnershipRemoval returns the change that removes an owner's title as it was read.
-func OwnershipRemoval(title Entry) Change {
-	return Change{Require: []Entry{{Key: title.Key, Revision: title.Revision}}, Remove: []Key{title.Key}}
+func OwnershipRemoval(ownership Entry) Change {
+	return Change{Require: []Entry{{Key: ownership.Key, Revision: ownership.Revision}}, Remove: []Key{ownership.Key}}
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -18,7 +18,7 @@
 
 // triesToDoubt is how many writes of a new job without an answer make it doubtful: one is
 // lost now and then, and the next one tells what became of it.
-const triesToDoubt = 2
+const attemptsUntilUncertain = 2
 
 // Config holds what a Ledger is told.
 type Config struct {
@@ -79,34 +79,34 @@
 
 const (
 	adding phase = iota
-	adopting
-	kept
+	takingOver
+	accepted
 	ending
 )
 
-type entry struct {
+type trackedJob struct {
 	record   Record
 	revision int64
 	phase    phase
 	// end is the final state to be written; 0 while there is none.
-	end     State
+	finalState     State
 	version uint64
 	// dueAt is when the write may go; 0: nothing to write.
 	dueAt    time.Duration
 	dirty    bool
 	inFlight bool
 	// tried: a write of the present phase got no answer; tries counts them.
-	tried bool
-	tries int
+	unanswered bool
+	unansweredWrites int
 }
 
 // Ledger is one daemon's part of the store. It is not safe for concurrent use.
 type Ledger struct {
 	config Config
-	title  int64
-	jobs   map[string]*entry
-	queue  []string
-	ended  []expiry
+	ownershipRevision  int64
+	jobs   map[string]*trackedJob
+	writeQueue  []string
+	expiries  []expiry
 }
 
 // expiry is a state to be removed.
@@ -120,17 +120,17 @@
 	if c.Now == nil {
 		c.Now = time.Now
 	}
-	return &Ledger{config: c, jobs: make(map[string]*entry)}
+	return &Ledger{config: c, jobs: make(map[string]*trackedJob)}
 }
 
 // OwnershipKey returns the key of this process's title.
 func (l *Ledger) OwnershipKey() Key { return Key{OwnershipEntry, l.config.OwnershipID} }
 
 // SetOwnershipRevision tells that the title was written. Before that nothing is.
-func (l *Ledger) SetOwnershipRevision(revision int64) { l.title = revision }
+func (l *Ledger) SetOwnershipRevision(revision int64) { l.ownershipRevision = revision }
 
 // OwnershipRevision returns the revision of the title; 0: there is none.
-func (l *Ledger) OwnershipRevision() int64 { return l.title }
+func (l *Ledger) OwnershipRevision() int64 { return l.ownershipRevision }
 
 // Len returns the number of jobs that have not ended.
 func (l *Ledger) Len() int { return len(l.jobs) }
@@ -149,14 +149,14 @@
 // Accepted reports whether the job is stored and has no end yet.
 func (l *Ledger) Accepted(id string) bool {
 	e := l.jobs[id]
-	return e != nil && e.phase == kept
+	return e != nil && e.phase == accepted
 }
 
 // Add takes a new job.
 func (l *Ledger) Add(now time.Duration, r Record) {
 	r.Owner = l.config.Owner
-	l.jobs[r.Job.ID] = &entry{record: r, phase: adding}
-	l.enqueue(r.Job.ID, now)
+	l.jobs[r.Job.ID] = &trackedJob{record: r, phase: adding}
+	l.scheduleWrite(r.Job.ID, now)
 }
 
 // TakeOver takes over a job of another owner, whose record is at the given revision.
@@ -165,44 +165,44 @@
 		return
 	}
 	r.Owner = l.config.Owner
-	l.jobs[r.Job.ID] = &entry{record: r, phase: adopting, revision: revision}
-	l.enqueue(r.Job.ID, now)
+	l.jobs[r.Job.ID] = &trackedJob{record: r, phase: takingOver, revision: revision}
+	l.scheduleWrite(r.Job.ID, now)
 }
 
 // UpdateProgress notes the progress of a job. Version grows with each change.
 func (l *Ledger) UpdateProgress(now time.Duration, id string, version uint64, tasks []coordinator.Progress) {
 	e := l.jobs[id]
-	if e == nil || e.end != 0 {
+	if e == nil || e.finalState != 0 {
 		return
 	}
 	e.record.Progress, e.version = tasks, version
-	l.enqueue(id, now+progressDelay)
+	l.scheduleWrite(id, now+progressDelay)
 }
 
 // SetFinalState notes the end of a job.
 func (l *Ledger) SetFinalState(now time.Duration, id string, s State) {
 	e := l.jobs[id]
-	if e == nil || e.end != 0 {
+	if e == nil || e.finalState != 0 {
 		return
 	}
-	e.end = s
-	if e.phase == kept {
+	e.finalState = s
+	if e.phase == accepted {
 		e.phase = ending
 	}
-	l.enqueue(id, now)
+	l.scheduleWrite(id, now)
 }
 
-func (l *Ledger) enqueue(id string, at time.Duration) {
+func (l *Ledger) scheduleWrite(id string, at time.Duration) {
 	e := l.jobs[id]
 	if !e.dirty {
 		e.dirty, e.dueAt = true, at
-		l.queue = append(l.queue, id)
+		l.writeQueue = append(l.writeQueue, id)
 	}
 	e.dueAt = min(e.dueAt, at)
 }
 
 // partKind is what a batch does for one job.
-type part struct {
+type jobWrite struct {
 	id      string
 	phase   phase
 	version uint64
@@ -211,7 +211,7 @@
 // Batch is a change with what it stands for.
 type Batch struct {
 	Change Change
-	parts  []part
+	writes  []jobWrite
 	// expired lists the states that the batch removes.
 	expired []expiry
 }
@@ -219,28 +219,28 @@
 // NextBatch returns the next batch to write; false when there is none now.
 func (l *Ledger) NextBatch(now time.Duration) (Batch, bool) {
 	var b Batch
-	if l.title == 0 {
+	if l.ownershipRevision == 0 {
 		return b, false
 	}
-	b.Change.Require = []Entry{{Key: l.OwnershipKey(), Revision: l.title}}
-	rest := l.queue[:0]
-	for _, id := range l.queue {
+	b.Change.Require = []Entry{{Key: l.OwnershipKey(), Revision: l.ownershipRevision}}
+	remaining := l.writeQueue[:0]
+	for _, id := range l.writeQueue {
 		e := l.jobs[id]
 		if e == nil {
 			continue
 		}
-		if e.inFlight || now < e.dueAt || !l.put(&b, id, e) {
-			rest = append(rest, id)
+		if e.inFlight || now < e.dueAt || !l.addWrite(&b, id, e) {
+			remaining = append(remaining, id)
 		}
 	}
-	clear(l.queue[len(rest):])
-	l.queue = rest
-	l.expire(now, &b)
-	return b, len(b.parts)+len(b.expired) > 0
+	clear(l.writeQueue[len(remaining):])
+	l.writeQueue = remaining
+	l.addExpired(now, &b)
+	return b, len(b.writes)+len(b.expired) > 0
 }
 
 // put adds a job's write to a batch, if it fits.
-func (l *Ledger) put(b *Batch, id string, e *entry) bool {
+func (l *Ledger) addWrite(b *Batch, id string, e *trackedJob) bool {
 	record, state := Key{RecordEntry, id}, Key{StateEntry, id}
 	var c Change
 	switch e.phase {
@@ -250,7 +250,7 @@
 	case ending:
 		c.Require = []Entry{{Key: record, Revision: e.revision}}
 		c.Remove = []Key{record}
-		c.Set = []Entry{{Key: state, Value: EncodeState(e.end, l.config.Owner, l.config.Now())}}
+		c.Set = []Entry{{Key: state, Value: EncodeState(e.finalState, l.config.Owner, l.config.Now())}}
 	default:
 		c.Require = []Entry{{Key: record, Revision: e.revision}}
 		c.Set = []Entry{{Key: record, Value: e.record.Encode()}}
@@ -261,26 +261,26 @@
 	b.Change.Require = append(b.Change.Require, c.Require...)
 	b.Change.Set = append(b.Change.Set, c.Set...)
 	b.Change.Remove = append(b.Change.Remove, c.Remove...)
-	b.parts = append(b.parts, part{id, e.phase, e.version})
+	b.writes = append(b.writes, jobWrite{id, e.phase, e.version})
 	e.inFlight, e.dirty = true, false
 	return true
 }
 
 // expire adds the removal of old states where nothing else is to be written with them. They
 // are the batch's until it fails: batches are written side by side.
-func (l *Ledger) expire(now time.Duration, b *Batch) {
-	for len(l.ended) > 0 {
-		x := l.ended[0]
-		if len(b.parts) > 0 || x.at > now || b.Change.Size() >= MaxRows {
+func (l *Ledger) addExpired(now time.Duration, b *Batch) {
+	for len(l.expiries) > 0 {
+		x := l.expiries[0]
+		if len(b.writes) > 0 || x.at > now || b.Change.Size() >= MaxRows {
 			return
 		}
 		b.Change.Remove = append(b.Change.Remove, Key{StateEntry, x.id})
 		b.expired = append(b.expired, x)
-		l.ended = l.ended[1:]
+		l.expiries = l.expiries[1:]
 	}
 }
 
-func (l *Ledger) drop(id string) {
+func (l *Ledger) remove(id string) {
 	delete(l.jobs, id)
-	l.queue = slices.DeleteFunc(l.queue, func(q string) bool { return q == id })
+	l.writeQueue = slices.DeleteFunc(l.writeQueue, func(q string) bool { return q == id })
 }
