--- a/ledger/doc.go
+++ b/ledger/doc.go
@@ -1,12 +1,13 @@
-// Package ledger keeps accepted jobs in a store that all daemons share, so that a job
-// outlives the daemon that accepted it.
+// Package ledger keeps durable jobs in a store that all daemons share, so that an accepted job survives
+// the failure of the daemon that accepted it.
 //
-// Two entries stand for a job: its record, while it has not ended, and its state, which
-// is short and stays for those who ask. Each record has one owner, the daemon that brings
-// the job to its end. An owner's title is an entry of its own, and each write of records
-// is conditional on it: whoever removes the title has stopped the owner with one write,
-// also when that is frozen or cut off, and may then adopt its jobs.
+// The store has two entries for a job. The record exists until the job ends. The state is short, and
+// remains for some time after the end for queries about the job. Each record has one owner, the daemon
+// that runs the job to its end. The ownership record of a daemon is a separate entry, and every write of
+// job records requires that it exists. A daemon that removes the ownership record of another thus fences
+// all writes of that owner at once, even if the owner is suspended or cut off from its peers, and may then
+// take over the owner's jobs.
 //
-// Ledger decides what is written and what an answer means. It does no I/O and reads no
-// clock; an embedder takes batches from it and tells what became of them.
+// Ledger decides which changes to write and what the store's answers mean. It does no I/O and reads no
+// clock. The embedder takes batches from it, writes them, and reports the results.
 package ledger
--- a/ledger/example_test.go
+++ b/ledger/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/lavendercleat/lavendercleat/ledger"
 )
 
-// A job is added, written under the owner's title, and accepted when the store says so.
+// A job is added, written under the daemon's ownership record, and accepted when the store confirms it.
 func Example() {
 	l := ledger.New(ledger.Config{Owner: 1, OwnershipID: "daemon-1", Retention: 2 * time.Minute})
 	l.SetOwnershipRevision(7) // the title was written at revision 7
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,3 +1,5 @@
+// The ledger and its write queue: which jobs are written next, and in which changes.
+
 package ledger
 
 import (
@@ -8,50 +10,53 @@
 )
 
 const (
-	// MaxRows is how many rows the store takes in one change.
+	// MaxRows is the maximum number of rows that the store accepts in one change.
 	MaxRows = 32
-	// progressDelay is how long progress waits for more of the same job: its tasks end
-	// within moments of each other, and each write is paid for. Until it is stored, the
-	// workers' ends are not acknowledged, which costs nothing but a longer list.
+	// progressDelay is how long the ledger delays a write of a job's progress to combine it with later
+	// progress. The tasks of a job end within moments of each other, and each write has a cost. Until the
+	// progress is stored, the completions are not acknowledged to the workers, which only makes the
+	// workers' lists longer.
 	progressDelay = 250 * time.Millisecond
 )
 
-// triesToDoubt is how many writes of a new job without an answer make it doubtful: one is
-// lost now and then, and the next one tells what became of it.
+// attemptsUntilUncertain is the number of unanswered writes of a new job after which the ledger reports
+// the job as Uncertain. A single answer is lost now and then, and the answer to the next write tells
+// whether the job is stored.
 const attemptsUntilUncertain = 2
 
-// Config holds what a Ledger is told.
+// Config configures a Ledger.
 type Config struct {
-	// Owner is this process's incarnation; OwnershipID is the name of its title. Required.
+	// Owner is the incarnation of this process, and OwnershipID the ID of its ownership record. Both are
+	// required.
 	Owner       uint64
 	OwnershipID string
-	// Retention is how long the state of an ended job stays.
+	// Retention is how long the state of an ended job is kept.
 	Retention time.Duration
-	// Now is the time of day, by which states of daemons that are gone are removed.
-	// Default time.Now.
+	// Now returns the wall clock time, which is stored with final states. Daemons remove expired states
+	// of removed daemons by it. Default: time.Now.
 	Now func() time.Time
 }
 
-// EventKind is what became of a job in the store.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// Kinds of news.
+// Kinds of events.
 const (
-	// Stored: the job is accepted.
+	// Stored: the job is stored, and therefore accepted.
 	Stored EventKind = iota + 1
-	// Duplicate: the job was accepted before, here or elsewhere.
+	// Duplicate: the same job was accepted before, by this daemon or another.
 	Duplicate
 	// Rejected: the job is not stored and never will be.
 	Rejected
-	// Uncertain: the job may be stored; the ledger tries on until it knows.
+	// Uncertain: the job may be stored. The ledger retries until it knows.
 	Uncertain
-	// TakenOver: the job is this daemon's from now on.
+	// TakenOver: this daemon has become the owner of the job.
 	TakenOver
-	// ProgressStored: progress up to Version is stored.
+	// ProgressStored: the job's progress up to Version is stored.
 	ProgressStored
 	// Ended: the final state is stored.
 	Ended
-	// OwnershipLost: the job is another daemon's, or was canceled by one.
+	// OwnershipLost: another daemon owns the job, or has canceled it.
 	OwnershipLost
 )
 
@@ -64,52 +69,66 @@
 	return names[0]
 }
 
-// Event tells what became of a job.
+// Event reports a change of a job in the store.
 type Event struct {
 	Kind   EventKind
 	Record Record
-	// Version is that of the stored progress.
+	// Version is the version of the stored progress.
 	Version uint64
-	// State is the final state of an ended job, also of one that ended on its way here.
+	// State is the final state of an ended job, or of a job that ended before it was stored. In a
+	// Duplicate it is the stored state of the job.
 	State State
 }
 
-// phase is where a job is on its way into and out of the store.
+// phase is the position of a job in its life cycle in the store.
 type phase uint8
 
 const (
+	// adding: a new job is not stored yet.
 	adding phase = iota
+	// takingOver: the record still names the previous owner.
 	takingOver
+	// accepted: the job is stored and this daemon owns it.
 	accepted
+	// ending: the final state is to be stored, and the record to be removed.
 	ending
 )
 
+// trackedJob is a job of this daemon with its writes.
 type trackedJob struct {
-	record   Record
+	record Record
+	// revision is the revision of the stored record.
 	revision int64
 	phase    phase
-	// end is the final state to be written; 0 while there is none.
-	finalState     State
-	version uint64
-	// dueAt is when the write may go; 0: nothing to write.
-	dueAt    time.Duration
-	dirty    bool
+	// finalState is the final state to be written; 0 if there is none.
+	finalState State
+	// progressVersion is the version of the progress in record.
+	progressVersion uint64
+	// nextWriteAt is the earliest time of the next write; it is set while queued is.
+	nextWriteAt time.Duration
+	// queued: the job is in the write queue.
+	queued bool
+	// inFlight: a batch with the job has been returned and its result is not known yet.
 	inFlight bool
-	// tried: a write of the present phase got no answer; tries counts them.
-	unanswered bool
+	// unanswered: a write since the last successful one got no answer, and may have been applied.
+	// unansweredWrites counts all unanswered writes of the job.
+	unanswered       bool
 	unansweredWrites int
 }
 
-// Ledger is one daemon's part of the store. It is not safe for concurrent use.
+// Ledger tracks the durable jobs that one daemon owns. It is not safe for concurrent use.
 type Ledger struct {
 	config Config
-	ownershipRevision  int64
-	jobs   map[string]*trackedJob
-	writeQueue  []string
-	expiries  []expiry
+	// ownershipRevision is the revision of this daemon's ownership record; 0 if it has none.
+	ownershipRevision int64
+	jobs              map[string]*trackedJob
+	// writeQueue lists the IDs of the jobs that have something to write.
+	writeQueue []string
+	// expiries lists the states of ended jobs, the earliest expiry first.
+	expiries []expiry
 }
 
-// expiry is a state to be removed.
+// expiry is the time at which the state of a job is to be removed.
 type expiry struct {
 	id string
 	at time.Duration
@@ -123,43 +142,44 @@
 	return &Ledger{config: c, jobs: make(map[string]*trackedJob)}
 }
 
-// OwnershipKey returns the key of this process's title.
+// OwnershipKey returns the key of this daemon's ownership record.
 func (l *Ledger) OwnershipKey() Key { return Key{OwnershipEntry, l.config.OwnershipID} }
 
-// SetOwnershipRevision tells that the title was written. Before that nothing is.
+// SetOwnershipRevision records the revision at which the ownership record was written. Before it is set,
+// the ledger writes nothing.
 func (l *Ledger) SetOwnershipRevision(revision int64) { l.ownershipRevision = revision }
 
-// OwnershipRevision returns the revision of the title; 0: there is none.
+// OwnershipRevision returns the revision of the ownership record, or 0 if there is none.
 func (l *Ledger) OwnershipRevision() int64 { return l.ownershipRevision }
 
 // Len returns the number of jobs that have not ended.
 func (l *Ledger) Len() int { return len(l.jobs) }
 
-// Has reports whether the job is here and has not ended.
+// Has reports whether the ledger has the job and the job has not ended.
 func (l *Ledger) Has(id string) bool { return l.jobs[id] != nil }
 
-// Route returns the queue of a job that has not ended.
+// Route returns the queue of a job that has not ended, or "" for an unknown job.
 func (l *Ledger) Route(id string) string {
-	if e := l.jobs[id]; e != nil {
-		return e.record.Route
+	if j := l.jobs[id]; j != nil {
+		return j.record.Route
 	}
 	return ""
 }
 
-// Accepted reports whether the job is stored and has no end yet.
+// Accepted reports whether the job is stored and no final state has been set for it.
 func (l *Ledger) Accepted(id string) bool {
-	e := l.jobs[id]
-	return e != nil && e.phase == accepted
+	j := l.jobs[id]
+	return j != nil && j.phase == accepted
 }
 
-// Add takes a new job.
+// Add adds a new job and schedules the write that stores it.
 func (l *Ledger) Add(now time.Duration, r Record) {
 	r.Owner = l.config.Owner
 	l.jobs[r.Job.ID] = &trackedJob{record: r, phase: adding}
 	l.scheduleWrite(r.Job.ID, now)
 }
 
-// TakeOver takes over a job of another owner, whose record is at the given revision.
+// TakeOver takes over a job of another owner. The job's record is at the given revision.
 func (l *Ledger) TakeOver(now time.Duration, r Record, revision int64) {
 	if l.Has(r.Job.ID) {
 		return
@@ -169,54 +189,55 @@
 	l.scheduleWrite(r.Job.ID, now)
 }
 
-// UpdateProgress notes the progress of a job. Version grows with each change.
-func (l *Ledger) UpdateProgress(now time.Duration, id string, version uint64, tasks []coordinator.Progress) {
-	e := l.jobs[id]
-	if e == nil || e.finalState != 0 {
+// UpdateProgress records the progress of a job's tasks. The version increases with each change.
+func (l *Ledger) UpdateProgress(now time.Duration, id string, version uint64, progress []coordinator.Progress) {
+	j := l.jobs[id]
+	if j == nil || j.finalState != 0 {
 		return
 	}
-	e.record.Progress, e.version = tasks, version
+	j.record.Progress, j.progressVersion = progress, version
 	l.scheduleWrite(id, now+progressDelay)
 }
 
-// SetFinalState notes the end of a job.
+// SetFinalState records the final state of a job. Later calls for the job have no effect.
 func (l *Ledger) SetFinalState(now time.Duration, id string, s State) {
-	e := l.jobs[id]
-	if e == nil || e.finalState != 0 {
+	j := l.jobs[id]
+	if j == nil || j.finalState != 0 {
 		return
 	}
-	e.finalState = s
-	if e.phase == accepted {
-		e.phase = ending
+	j.finalState = s
+	if j.phase == accepted {
+		j.phase = ending
 	}
 	l.scheduleWrite(id, now)
 }
 
+// scheduleWrite queues a write of the job, or moves a queued write to an earlier time.
 func (l *Ledger) scheduleWrite(id string, at time.Duration) {
-	e := l.jobs[id]
-	if !e.dirty {
-		e.dirty, e.dueAt = true, at
+	j := l.jobs[id]
+	if !j.queued {
+		j.queued, j.nextWriteAt = true, at
 		l.writeQueue = append(l.writeQueue, id)
 	}
-	e.dueAt = min(e.dueAt, at)
+	j.nextWriteAt = min(j.nextWriteAt, at)
 }
 
-// partKind is what a batch does for one job.
+// jobWrite is the write of one job in a batch.
 type jobWrite struct {
-	id      string
-	phase   phase
-	version uint64
+	id              string
+	phase           phase
+	progressVersion uint64
 }
 
-// Batch is a change with what it stands for.
+// Batch is a change to write, with the jobs that it concerns.
 type Batch struct {
 	Change Change
-	writes  []jobWrite
+	writes []jobWrite
 	// expired lists the states that the batch removes.
 	expired []expiry
 }
 
-// NextBatch returns the next batch to write; false when there is none now.
+// NextBatch returns the next batch to write, or false if there is nothing to write now.
 func (l *Ledger) NextBatch(now time.Duration) (Batch, bool) {
 	var b Batch
 	if l.ownershipRevision == 0 {
@@ -225,11 +246,11 @@
 	b.Change.Require = []Entry{{Key: l.OwnershipKey(), Revision: l.ownershipRevision}}
 	remaining := l.writeQueue[:0]
 	for _, id := range l.writeQueue {
-		e := l.jobs[id]
-		if e == nil {
+		j := l.jobs[id]
+		if j == nil {
 			continue
 		}
-		if e.inFlight || now < e.dueAt || !l.addWrite(&b, id, e) {
+		if j.inFlight || now < j.nextWriteAt || !l.addWrite(&b, id, j) {
 			remaining = append(remaining, id)
 		}
 	}
@@ -239,21 +260,21 @@
 	return b, len(b.writes)+len(b.expired) > 0
 }
 
-// put adds a job's write to a batch, if it fits.
-func (l *Ledger) addWrite(b *Batch, id string, e *trackedJob) bool {
+// addWrite adds a job's write to a batch. It returns false if the batch has no space for it.
+func (l *Ledger) addWrite(b *Batch, id string, j *trackedJob) bool {
 	record, state := Key{RecordEntry, id}, Key{StateEntry, id}
 	var c Change
-	switch e.phase {
+	switch j.phase {
 	case adding:
 		c.Require = []Entry{{Key: state}}
-		c.Set = []Entry{{Key: record, Value: e.record.Encode()}, {Key: state, Value: EncodeState(Queued, l.config.Owner, time.Time{})}}
+		c.Set = []Entry{{Key: record, Value: j.record.Encode()}, {Key: state, Value: EncodeState(Queued, l.config.Owner, time.Time{})}}
 	case ending:
-		c.Require = []Entry{{Key: record, Revision: e.revision}}
+		c.Require = []Entry{{Key: record, Revision: j.revision}}
 		c.Remove = []Key{record}
-		c.Set = []Entry{{Key: state, Value: EncodeState(e.finalState, l.config.Owner, l.config.Now())}}
+		c.Set = []Entry{{Key: state, Value: EncodeState(j.finalState, l.config.Owner, l.config.Now())}}
 	default:
-		c.Require = []Entry{{Key: record, Revision: e.revision}}
-		c.Set = []Entry{{Key: record, Value: e.record.Encode()}}
+		c.Require = []Entry{{Key: record, Revision: j.revision}}
+		c.Set = []Entry{{Key: record, Value: j.record.Encode()}}
 	}
 	if b.Change.Size()+c.Size() > MaxRows {
 		return false
@@ -261,13 +282,13 @@
 	b.Change.Require = append(b.Change.Require, c.Require...)
 	b.Change.Set = append(b.Change.Set, c.Set...)
 	b.Change.Remove = append(b.Change.Remove, c.Remove...)
-	b.writes = append(b.writes, jobWrite{id, e.phase, e.version})
-	e.inFlight, e.dirty = true, false
+	b.writes = append(b.writes, jobWrite{id, j.phase, j.progressVersion})
+	j.inFlight, j.queued = true, false
 	return true
 }
 
-// expire adds the removal of old states where nothing else is to be written with them. They
-// are the batch's until it fails: batches are written side by side.
+// addExpired adds removals of expired states to a batch that contains no writes of jobs. The embedder
+// writes several batches concurrently, so a removal belongs to this batch alone until the batch fails.
 func (l *Ledger) addExpired(now time.Duration, b *Batch) {
 	for len(l.expiries) > 0 {
 		x := l.expiries[0]
@@ -280,6 +301,7 @@
 	}
 }
 
+// remove removes a job from the ledger, but not from the store.
 func (l *Ledger) remove(id string) {
 	delete(l.jobs, id)
 	l.writeQueue = slices.DeleteFunc(l.writeQueue, func(q string) bool { return q == id })
--- a/ledger/heir.go
+++ b/ledger/ownership.go
@@ -1,3 +1,5 @@
+// Ownership records of daemons, and the successor of a lost daemon.
+
 package ledger
 
 import (
@@ -12,9 +14,9 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// Successor returns the member that looks after something whose owner is gone (rendezvous
-// hashing). Members with equal views agree on it; where they don't, the conditions of
-// the writes decide.
+// Successor returns the member that takes over something of a lost owner, identified by key. It uses
+// rendezvous hashing, so members with equal views select the same successor. If their views differ, the
+// conditions of the writes decide.
 func Successor(key string, members []member.Process) (successor member.Process) {
 	var best uint64
 	for _, m := range members {
@@ -32,22 +34,23 @@
 	return successor
 }
 
-// EncodeOwnership returns a title as it is stored.
+// EncodeOwnership returns an ownership record in its stored form.
 func EncodeOwnership(p member.Process, name string) []byte {
 	return encode(&schema.OwnerRecord{Address: p.Address.String(), Incarnation: p.Incarnation, Name: name})
 }
 
-// DecodeOwnership returns a title's owner.
+// DecodeOwnership returns the owner from a stored ownership record.
 func DecodeOwnership(b []byte) (member.Process, error) {
-	var o schema.OwnerRecord
-	if err := proto.Unmarshal(b, &o); err != nil {
-		return member.Process{}, errors.Wrap(err, "decoding an owner's title")
+	var record schema.OwnerRecord
+	if err := proto.Unmarshal(b, &record); err != nil {
+		return member.Process{}, errors.Wrap(err, "decoding an ownership record")
 	}
-	a, err := netip.ParseAddrPort(o.GetAddress())
-	return member.Process{Address: a, Incarnation: o.GetIncarnation()}, errors.Wrap(err, "decoding an owner's title")
+	address, err := netip.ParseAddrPort(record.GetAddress())
+	return member.Process{Address: address, Incarnation: record.GetIncarnation()}, errors.Wrapf(err, "decoding the ownership record of %q", record.GetName())
 }
 
-// OwnershipRemoval returns the change that removes an owner's title as it was read.
+// OwnershipRemoval returns the change that removes an ownership record, if it has not changed since it
+// was read.
 func OwnershipRemoval(ownership Entry) Change {
 	return Change{Require: []Entry{{Key: ownership.Key, Revision: ownership.Revision}}, Remove: []Key{ownership.Key}}
 }
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -1,3 +1,5 @@
+// Records and states of durable jobs, and their stored forms.
+
 package ledger
 
 import (
@@ -16,7 +18,7 @@
 
 // States.
 const (
-	// Queued: accepted; no task has started, as far as the one who says so knows.
+	// Queued: the job is accepted, and no task has started as far as the reporting daemon knows.
 	Queued State = iota + 1
 	Running
 	// Completed: all tasks are done.
@@ -26,7 +28,7 @@
 	Canceled
 )
 
-// Final reports whether the state is an end.
+// Final reports whether the state is final.
 func (s State) Final() bool { return s >= Completed }
 
 // String returns the state's name in logs.
@@ -38,19 +40,19 @@
 	return names[0]
 }
 
-// Record is an accepted job that has not ended.
+// Record is a durable job that has not ended.
 type Record struct {
-	// Job is what its coordinator needs; its deadline and progress are not part of it.
+	// Job is the job as its coordinator needs it, without a deadline. Its progress is in Progress.
 	Job coordinator.Job
-	// Route is the name of its queue.
+	// Route is the name of the job's queue.
 	Route string
-	// Owner is the incarnation of the daemon that brings it to its end.
+	// Owner is the incarnation of the daemon that runs the job to its end.
 	Owner uint64
-	// Progress is the progress, step after step; empty before the first.
+	// Progress is the progress of each task, in the order of the steps; empty before the first progress.
 	Progress []coordinator.Progress
 }
 
-// Encode returns the record as it is stored.
+// Encode returns the record in its stored form.
 func (r Record) Encode() []byte {
 	k := &schema.KeptJob{
 		Id: r.Job.ID, Route: r.Route, Service: r.Job.Service, Payload: r.Job.Payload, Attempts: uint32(r.Job.Attempts),
@@ -72,11 +74,11 @@
 	return encode(k)
 }
 
-// DecodeRecord decodes what Encode returned.
+// DecodeRecord decodes the stored form of a record.
 func DecodeRecord(b []byte) (Record, error) {
 	var k schema.KeptJob
 	if err := proto.Unmarshal(b, &k); err != nil {
-		return Record{}, errors.Wrap(err, "decoding a kept job")
+		return Record{}, errors.Wrap(err, "decoding the record of a durable job")
 	}
 	r := Record{Route: k.GetRoute(), Owner: k.GetOwner(), Job: coordinator.Job{
 		ID: k.GetId(), Service: k.GetService(), Queue: k.GetRoute(), Payload: k.GetPayload(), Attempts: int(k.GetAttempts()),
@@ -99,12 +101,12 @@
 		r.Progress = append(r.Progress, coordinator.Progress{Done: t.GetDone(), FailedRuns: t.GetFailedRuns(), LastRun: t.GetRun()})
 	}
 	if len(r.Progress) > 0 && len(r.Progress) != tasks {
-		return r, errors.Newf("kept job %s: progress of %d tasks for %d", r.Job.ID, len(r.Progress), tasks)
+		return r, errors.Newf("record of job %s: progress of %d tasks, but its steps have %d", r.Job.ID, len(r.Progress), tasks)
 	}
 	return r, nil
 }
 
-// EncodeState returns a state as it is stored, and for a final one the time.
+// EncodeState returns a state in its stored form. A final state includes the time of the end.
 func EncodeState(s State, owner uint64, at time.Time) []byte {
 	k := &schema.KeptState{State: uint32(s), Owner: owner}
 	if s.Final() {
@@ -113,8 +115,8 @@
 	return encode(k)
 }
 
-// ExpiredStates returns the keys of states of jobs that had ended before a time. Daemons remove
-// the states that they wrote themselves; these are left by daemons that are gone.
+// ExpiredStates returns the keys of the states of jobs that ended before a time. Daemons remove the
+// states that they wrote; this function finds those that removed daemons have left behind.
 func ExpiredStates(states []Entry, before time.Time) (keys []Key) {
 	for _, e := range states {
 		var k schema.KeptState
@@ -125,20 +127,21 @@
 	return keys
 }
 
-// DecodeState decodes what EncodeState returned.
+// DecodeState decodes the stored form of a state.
 func DecodeState(b []byte) (s State, owner uint64, err error) {
 	var k schema.KeptState
 	if err := proto.Unmarshal(b, &k); err != nil {
-		return 0, 0, errors.Wrap(err, "decoding a job's state")
+		return 0, 0, errors.Wrap(err, "decoding the state of a job")
 	}
 	return State(k.GetState()), k.GetOwner(), nil
 }
 
-// encode never fails: the messages hold valid text and no required fields.
+// encode encodes a message for the store. It cannot fail, because the messages contain valid UTF-8 and
+// have no required fields.
 func encode(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
-		panic(errors.Wrap(err, "encoding for the store"))
+		panic(errors.Wrap(err, "encoding a record for the store"))
 	}
 	return b
 }
