--- a/client/doc.go
+++ b/client/doc.go
@@ -1,10 +1,9 @@
-// Package client calls the caller interface of an entry, or of the balancer in front
+// Package client calls the caller interface of an entry, directly or through the load balancer in front
 // of the entries.
 //
-// Submit is what most callers want: it reserves an identifier, sends the job under it
-// and asks again until there is a final answer. Asking again is harmless, for the
-// owner of the identifier starts the job once.
+// Most callers need only Submit. It reserves an identifier, sends the job with it and retries until the
+// answer is final. The retries do no harm, because the owner of the identifier starts the job only once.
 //
-// A Client needs the URL and the team's token. After Submit returns, a failed answer's
-// Resubmit says whether the same job may be submitted again.
+// A Client needs the URL and the token of the caller's team. If Submit returns a failed answer, its field
+// Resubmit says whether the caller may submit the same job again.
 package client
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -13,7 +13,7 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// fakeEntry reserves identifiers, and says once that the owner can't be reached.
+// fakeEntry reserves identifiers, and answers once that the owner of the identifier is unreachable.
 func fakeEntry() http.Handler {
 	asked := 0
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -31,7 +31,7 @@
 	})
 }
 
-// Submit asks again until the answer is final; the job runs once.
+// Submit retries until the answer is final. The job runs once.
 func ExampleClient_Submit() {
 	entry := httptest.NewServer(fakeEntry())
 	defer entry.Close()
--- a/config/diff.go
+++ b/config/diff.go
@@ -1,3 +1,5 @@
+// Differences between two configuration documents, as a plan shows them.
+
 package config
 
 import (
@@ -10,11 +12,11 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// shownHash is how many digits of a token's hash a plan shows.
+// shownHashDigits is the number of digits of a token's hash that a plan shows.
 const shownHashDigits = 8
 
-// Diff returns the fields that differ, sorted by name. Revision and history are left
-// out, for every plan changes them.
+// Diff returns the fields that differ, sorted by name. It omits the revision and the history, because
+// every plan changes them.
 func Diff(before, after *schema.Config) []schema.Change {
 	b, a := flatten(before), flatten(after)
 	names := make(map[string]bool, len(a))
@@ -34,7 +36,7 @@
 	return changes
 }
 
-// flatten returns the set fields of a document by their path.
+// flatten returns the values of the fields that are set in a document, by their paths.
 func flatten(c *schema.Config) map[string]string {
 	out := make(map[string]string)
 	flattenMessage(out, "", c.ProtoReflect())
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,11 +1,11 @@
-// Package config holds the rules of the configuration document: what a valid one is,
-// how requests look things up in it, and how operators change it.
+// Package config holds the rules of the configuration document: which documents are valid, how requests
+// look up values in it, and how operators change it.
 //
-// A change is an Intent. NewUpdate makes the step from the document in force, ComputeEffects
-// tells what follows, and PlanID names the plan. Nothing is kept between plan and
-// confirmation: the confirmation brings the intent back, the step is computed again
-// and refused if the document's revision moved. The new document carries the record
-// of its plan, so that a confirmation whose reply was lost is recognised.
+// An operator changes the document by an Intent. NewUpdate computes the new document from the one in force,
+// ComputeEffects describes the consequences, and PlanID computes the identifier of the plan. Entries store
+// no plans: a confirmation contains the intent again. The confirming entry computes the update again, and
+// refuses it if the document's revision has changed. The new document contains a record of the plan, by
+// which an entry recognises a repeated confirmation whose first reply was lost.
 //
-// The package does no I/O: reading and compare-and-swap are the embedder's.
+// The package does no I/O. The embedder reads the document and writes it by compare-and-swap.
 package config
--- a/config/effects.go
+++ b/config/effects.go
@@ -1,3 +1,5 @@
+// Effects of a change of the configuration on workers, kinds and teams.
+
 package config
 
 import (
@@ -8,19 +10,20 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// FleetLoad is what runs in the fleet at the time of a plan, as far as entries answered.
+// FleetLoad is the load of the fleet at the time of a plan, as reported by the entries that answered.
 type FleetLoad struct {
+	// Running and Waiting are numbers of tasks.
 	Running int
 	Waiting int
-	// RunningByWorker counts the running tasks by worker.
+	// RunningByWorker is the number of running tasks by worker address.
 	RunningByWorker map[string]int
-	// TeamRates are the task starts per second that each team asks for.
+	// TeamRates is the number of task starts per second that each team requests.
 	TeamRates map[string]int
-	// Unreachable names the entries that did not answer.
+	// Unreachable lists the entries that did not answer.
 	Unreachable []string
 }
 
-// ComputeEffects tells what follows from a change of the document.
+// ComputeEffects returns the consequences of a change of the document.
 func ComputeEffects(before, after *schema.Config, vms []*schema.Vm, load FleetLoad) schema.Effects {
 	b, a := NewIndex(before), NewIndex(after)
 	effects := schema.Effects{
@@ -41,7 +44,7 @@
 
 func isWorker(vm *schema.Vm) bool { return vm.GetRole() == schema.VmRole_VM_ROLE_WORKER }
 
-// domainEffects compares the failure domains of the VM list.
+// domainEffects compares the failure domains of the VM list before and after the change.
 func domainEffects(before, after *Index, vms []*schema.Vm) []schema.DomainEffect {
 	byName := make(map[string]*schema.DomainEffect)
 	for _, vm := range vms {
@@ -64,6 +67,7 @@
 	return list
 }
 
+// countVM adds a VM to the counts of its failure domain, if it gets new work under the indexed document.
 func countVM(vm *schema.Vm, index *Index, workers, slots, entries *int64) {
 	switch vm.GetRole() {
 	case schema.VmRole_VM_ROLE_WORKER:
@@ -78,8 +82,8 @@
 	}
 }
 
-// kindsLeft returns the kinds that no worker may run after the change, but for those
-// that the change doesn't touch and that no worker could run before either.
+// kindsWithoutWorkers returns the kinds that no worker may run after the change. It omits kinds that
+// existed before the change and that no worker could run then either.
 func kindsWithoutWorkers(before, after *Index, vms []*schema.Vm) []string {
 	var kinds []string
 	for name, kind := range after.doc.GetKinds() {
@@ -92,7 +96,7 @@
 	return kinds
 }
 
-// hasWorker tells whether any worker may get tasks of a kind.
+// hasWorker reports whether any worker may get tasks of a kind.
 func hasWorker(index *Index, kind *schema.Kind, vms []*schema.Vm) bool {
 	return slices.ContainsFunc(vms, func(vm *schema.Vm) bool {
 		return isWorker(vm) && !vm.GetLeaving() && !index.Drained(vm) && mayRunIn(kind, vm.GetDomain()) && fits(kind.GetNeeds(), vm.GetResources())
@@ -107,7 +111,7 @@
 	return needs.GetCpus() <= has.GetCpus() && needs.GetMemoryMb() <= has.GetMemoryMb() && needs.GetAccelerators() <= has.GetAccelerators()
 }
 
-// squeezedTeams returns the teams that use more now than they would get.
+// squeezedTeams returns the teams that get less after the change than they use now, with the reason.
 func squeezedTeams(before, after *schema.Config, domains []schema.DomainEffect, load FleetLoad) []schema.TeamEffect {
 	slots := int64(0)
 	for _, d := range domains {
@@ -140,7 +144,7 @@
 	return list
 }
 
-// warnings names what is legal but may be a slip.
+// warnings lists valid changes that may be mistakes.
 func warnings(before, after *schema.Config, vms []*schema.Vm, load FleetLoad) []string {
 	workers, racks, domains := listedNames(vms)
 	var list []string
@@ -165,15 +169,16 @@
 		}
 	}
 	if len(vms) == 0 {
-		list = append(list, "the asked entry has no VM list yet; workers and slots are unknown")
+		list = append(list, "the queried entry has no VM list yet; workers and slots are unknown")
 	}
 	if len(load.Unreachable) > 0 {
-		list = append(list, "no answer about work in flight from "+strings.Join(load.Unreachable, ", "))
+		list = append(list, "work in flight is unknown at entries that did not answer: "+strings.Join(load.Unreachable, ", "))
 	}
 	slices.Sort(list)
 	return list
 }
 
+// listedNames returns the workers, racks and failure domains in the VM list.
 func listedNames(vms []*schema.Vm) (workers, racks, domains map[string]bool) {
 	workers, racks, domains = make(map[string]bool), make(map[string]bool), make(map[string]bool)
 	for _, vm := range vms {
--- a/config/example_test.go
+++ b/config/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// An operator lowers a limit: the plan shows the change, the confirmation computes
-// it again on the document it finds.
+// An operator lowers a limit. The plan shows the change. A confirmation of the same plan after that is
+// refused, because the document has a new revision.
 func Example() {
 	doc := &schema.Config{Revision: 3, Limits: &schema.Limits{MaxTasks: 160, MaxBodyBytes: 1 << 20, MaxDeadlineMs: 60_000}}
 	intent := schema.Intent{Action: string(config.SetLimits), Settings: []string{"max_tasks=40"}}
--- a/config/intent.go
+++ b/config/intent.go
@@ -1,3 +1,5 @@
+// Actions of operators, and how each of them changes the document.
+
 package config
 
 import (
@@ -12,42 +14,42 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// Action names what an intent does.
+// Action is the kind of change that an intent requests.
 type Action string
 
 // Actions of intents.
 const (
 	// Init writes the first document.
 	Init Action = "init"
-	// Restore writes the document in force back to a platform that came back older.
+	// Restore writes the document in force to a platform that has returned with an older one.
 	Restore Action = "restore"
 	// DrainWorker and UndrainWorker stop and resume new work on one worker.
 	DrainWorker   Action = "drain-worker"
 	UndrainWorker Action = "undrain-worker"
-	// DrainRack and UndrainRack do it for all workers of a rack.
+	// DrainRack and UndrainRack do the same for all workers of a rack.
 	DrainRack   Action = "drain-rack"
 	UndrainRack Action = "undrain-rack"
-	// RetireDomain stops new work on a failure domain's workers and at its entries;
-	// ReinstateDomain takes it back.
+	// RetireDomain stops new work on the workers of a failure domain and at its entries. ReinstateDomain
+	// reverses it.
 	RetireDomain    Action = "retire-domain"
 	ReinstateDomain Action = "reinstate-domain"
-	// SetLimits changes the limits of every request.
+	// SetLimits changes the limits that apply to every request.
 	SetLimits Action = "set-limits"
-	// SetKind makes or changes a kind, RemoveKind removes it.
+	// SetKind creates or changes a kind, RemoveKind removes it.
 	SetKind    Action = "set-kind"
 	RemoveKind Action = "remove-kind"
-	// HoldKind refuses new jobs of a kind; ResumeKind takes it back.
+	// HoldKind refuses new jobs of a kind, ResumeKind accepts them again.
 	HoldKind   Action = "hold-kind"
 	ResumeKind Action = "resume-kind"
-	// SetTeam makes or changes a team, RemoveTeam removes it.
+	// SetTeam creates or changes a team, RemoveTeam removes it.
 	SetTeam    Action = "set-team"
 	RemoveTeam Action = "remove-team"
 )
 
-// maxDescription bounds an intent's description in the document's history.
+// maxDescriptionBytes is the maximum length of an intent's description in the document's history.
 const maxDescriptionBytes = 200
 
-// Describe returns an intent in one line, for the history. Token hashes are left out.
+// Describe returns a description of an intent in one line, for the history. It omits token hashes.
 func Describe(i schema.Intent) string {
 	words := []string{i.Action}
 	if i.Target != "" {
@@ -69,8 +71,8 @@
 	return strings.ToValidUTF8(line, "?")
 }
 
-// Apply returns the document that the intent makes of base, without the revision and
-// the record of the plan. It doesn't change base.
+// Apply returns the document that results from an intent, without a new revision and without a record of
+// the plan. It does not change base.
 func Apply(base *schema.Config, i schema.Intent) (*schema.Config, error) {
 	doc := proto.CloneOf(base)
 	if doc.Limits == nil {
@@ -82,6 +84,7 @@
 	return doc, nil
 }
 
+// apply changes doc as the intent requests.
 func apply(doc *schema.Config, i schema.Intent) error {
 	switch Action(i.Action) {
 	case Init:
@@ -118,18 +121,18 @@
 	case RemoveTeam:
 		return removeNamed(doc.Teams, "team", i.Target)
 	}
-	return errors.Newf("there is no intent %q", i.Action)
+	return errors.Newf("unknown action %q", i.Action)
 }
 
-// initialize replaces an empty document. The file's own revision is kept, so that a
-// document brought back from an export goes above what entries may still have.
+// initialize replaces an empty document. It keeps the revision in the text, so that a document restored
+// from an export gets a higher revision than any that entries may still have.
 func initialize(doc *schema.Config, text string) error {
 	if doc.GetRevision() > 0 {
-		return errors.Newf("there is a document already, at revision %d; change it by intents", doc.GetRevision())
+		return errors.Newf("there is a document already, at revision %d; change it by other intents", doc.GetRevision())
 	}
 	var first schema.Config
 	if err := protojson.Unmarshal([]byte(text), &first); err != nil {
-		return errors.Wrap(err, "the document can't be read")
+		return errors.Wrap(err, "decoding the document")
 	}
 	first.RecentPlans = nil
 	proto.Reset(doc)
@@ -137,22 +140,24 @@
 	return nil
 }
 
+// addTarget adds a name to a list of the document.
 func addTarget(list *[]string, what, target string) error {
 	if target == "" {
-		return errors.Newf("name the %s", what)
+		return errors.Newf("the name of the %s is empty", what)
 	}
 	if slices.Contains(*list, target) {
-		return errors.Newf("%s %q is in that state already", what, target)
+		return errors.Newf("%s %q is in the requested state already", what, target)
 	}
 	*list = append(*list, target)
 	slices.Sort(*list)
 	return nil
 }
 
+// removeTarget removes a name from a list of the document.
 func removeTarget(list *[]string, what, target string) error {
 	at := slices.Index(*list, target)
 	if at < 0 {
-		return errors.Newf("there is no %s %q; there is: %s", what, target, listOrNone(*list))
+		return errors.Newf("there is no %s %q; existing: %s", what, target, listOrNone(*list))
 	}
 	*list = slices.Delete(*list, at, at+1)
 	return nil
@@ -165,10 +170,10 @@
 	return strings.Join(list, ", ")
 }
 
-// setIn sets fields of a named message, which is made if it isn't there.
+// setNamed sets fields of the message with the given name, and adds the message if there is none.
 func setNamed[M proto.Message](m *map[string]M, name string, empty M, settings []string) error {
 	if name == "" {
-		return errors.New("name what to set")
+		return errors.New("the name of the kind or team to set is empty")
 	}
 	if *m == nil {
 		*m = make(map[string]M)
@@ -181,6 +186,7 @@
 	return setFields(target, settings)
 }
 
+// removeNamed removes the message with the given name.
 func removeNamed[M any](m map[string]M, what, name string) error {
 	if _, ok := m[name]; !ok {
 		return fmt.Errorf("there is no %s %q", what, name)
--- a/config/plan.go
+++ b/config/plan.go
@@ -1,3 +1,5 @@
+// Plans, their confirmation and their history.
+
 package config
 
 import (
@@ -13,26 +15,26 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// Reason names why a plan was not applied.
+// Reason is the reason why a plan was not applied.
 type Reason string
 
-// Reasons of plans that were not applied.
+// Reasons why a plan was not applied.
 const (
-	// BadIntent: the intent can't be carried out on this document.
+	// BadIntent: the intent cannot be applied to this document.
 	BadIntent Reason = "bad_intent"
-	// BadPlan: identifier and contents of a confirmation don't belong together.
+	// BadPlan: the identifier of a confirmation does not match its contents.
 	BadPlan Reason = "bad_plan"
-	// BaseRevisionChanged: another plan was applied since this one was made.
+	// BaseRevisionChanged: another plan was applied after this plan was made.
 	BaseRevisionChanged Reason = "base_moved"
-	// NowhereToRun: a kind or the fleet would be left without workers or entries.
+	// NowhereToRun: the change leaves a kind without workers, or the fleet without entries.
 	NowhereToRun Reason = "nowhere_to_run"
-	// PlatformOlder: the platform's document is older than the one in force.
+	// PlatformOlder: the platform's document is older than the document in force.
 	PlatformOlder Reason = "platform_older"
-	// EntryBehind: the asked entry does not have the newest revision yet.
+	// EntryBehind: the queried entry does not have the newest revision yet.
 	EntryBehind Reason = "entry_behind"
-	// Unreadable: the platform's document can't be decoded.
+	// Unreadable: the platform's document cannot be decoded.
 	Unreadable Reason = "unreadable"
-	// PlatformUnavailable: the platform's service gave no answer.
+	// PlatformUnavailable: the platform's service did not answer.
 	PlatformUnavailable Reason = "platform_unavailable"
 )
 
@@ -40,11 +42,11 @@
 const (
 	Applied = "applied"
 	Refused = "refused"
-	// OutcomeUnknown: a write was sent and no answer tells whether it took effect.
+	// OutcomeUnknown: a write was sent, and no answer tells whether it was applied.
 	OutcomeUnknown = "unknown"
 )
 
-// MaxRecentPlans bounds the document's history.
+// MaxRecentPlans is the maximum number of plans in the document's history.
 const MaxRecentPlans = 64
 
 const (
@@ -52,11 +54,11 @@
 	planIDBytes = 12
 )
 
-// Refusal says why a plan is not applied.
+// Refusal is an error that describes why a plan is not applied.
 type Refusal struct {
 	Reason  Reason
 	Message string
-	// AppliedSince holds the plans applied since the base revision, for BaseRevisionChanged.
+	// AppliedSince lists the plans applied since the base revision; set for BaseRevisionChanged.
 	AppliedSince []schema.HistoryEntry
 }
 
@@ -67,29 +69,30 @@
 	return &Refusal{Reason: r, Message: fmt.Sprintf(format, args...)}
 }
 
-// NewNonce returns the random part of a plan's identifier.
+// NewNonce returns a random nonce for a plan's identifier.
 func NewNonce() string {
 	b := make([]byte, nonceBytes)
 	rand.Read(b)
 	return hex.EncodeToString(b)
 }
 
-// PlanID identifies a plan by what it is. The nonce tells apart two plans of the same
-// intent on the same base, so that one operator's confirmation is never taken for
-// the other's.
+// PlanID returns the identifier of a plan, a digest of its contents. The nonce distinguishes two plans of
+// the same intent on the same base, so that the confirmation of one operator is never taken for that of
+// another.
 func PlanID(i schema.Intent, base uint64, nonce string) string {
-	b, _ := json.Marshal(schema.Confirmation{BaseRevision: base, Nonce: nonce, Intent: i}) // plain fields always encode
+	b, _ := json.Marshal(schema.Confirmation{BaseRevision: base, Nonce: nonce, Intent: i}) // structs of plain fields always encode
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:planIDBytes])
 }
 
-// Update is a document with the one that an intent makes of it.
+// Update is the document before and after an intent.
 type Update struct {
 	Before *schema.Config
 	After  *schema.Config
 }
 
-// NewUpdate returns the step from base by the intent; its document has the next revision.
+// NewUpdate returns the update of base that results from the intent. The new document has the next
+// revision.
 func NewUpdate(base *schema.Config, i schema.Intent) (*Update, *Refusal) {
 	after, err := Apply(base, i)
 	if err == nil {
@@ -98,22 +101,23 @@
 	if err != nil {
 		return nil, newRefusal(BadIntent, "%v", err)
 	}
-	// A first document may bring a revision of its own, see Init.
+	// A first document may contain a revision of its own, see initialize.
 	after.Revision = max(base.GetRevision(), after.GetRevision()) + 1
 	update := &Update{Before: base, After: after}
 	if Action(i.Action) != Restore && len(Diff(base, after)) == 0 {
-		return nil, newRefusal(BadIntent, "nothing would change")
+		return nil, newRefusal(BadIntent, "the intent changes nothing")
 	}
 	return update, nil
 }
 
-// CheckEffects refuses a change that leaves work with nowhere to run, unless forced.
+// CheckEffects refuses a change that leaves a kind without workers or the fleet without entries, unless
+// the intent is forced.
 func CheckEffects(e schema.Effects, i schema.Intent) *Refusal {
 	if i.Force {
 		return nil
 	}
 	if len(e.KindsWithoutWorkers) > 0 {
-		return newRefusal(NowhereToRun, "no worker would be left for: %s; add --force to do it all the same", strings.Join(e.KindsWithoutWorkers, ", "))
+		return newRefusal(NowhereToRun, "no worker would be left for: %s; add --force to apply the change anyway", strings.Join(e.KindsWithoutWorkers, ", "))
 	}
 	before, after := int64(0), int64(0)
 	for _, d := range e.Domains {
@@ -121,12 +125,12 @@
 		after += d.EntriesAfter
 	}
 	if before > 0 && after == 0 {
-		return newRefusal(NowhereToRun, "no entry would accept new work; add --force to do it all the same")
+		return newRefusal(NowhereToRun, "no entry would accept new work; add --force to apply the change anyway")
 	}
 	return nil
 }
 
-// AddToHistory adds an applied plan to the step's document.
+// AddToHistory adds a record of the applied plan to the new document.
 func (u *Update) AddToHistory(id, operator string, i schema.Intent, unixMS int64) {
 	plans := append(u.After.GetRecentPlans(), &schema.AppliedPlan{
 		Id: id, Revision: u.After.GetRevision(), Operator: operator, Intent: Describe(i), ConfirmedUnixMs: unixMS,
@@ -137,16 +141,15 @@
 	u.After.RecentPlans = plans
 }
 
-// CheckConfirmation refuses a confirmation whose identifier is not that of its
-// contents.
+// CheckConfirmation refuses a confirmation whose identifier does not match its contents.
 func CheckConfirmation(c schema.Confirmation) *Refusal {
 	if c.Nonce == "" || PlanID(c.Intent, c.BaseRevision, c.Nonce) != c.Id {
-		return newRefusal(BadPlan, "identifier and contents of the plan don't belong together; plan again")
+		return newRefusal(BadPlan, "the contents of the confirmation do not match the plan identifier %q; plan again", c.Id)
 	}
 	return nil
 }
 
-// FindPlan returns the record of an applied plan, nil when the document has none.
+// FindPlan returns the record of an applied plan, or nil if the document has none.
 func FindPlan(c *schema.Config, id string) *schema.AppliedPlan {
 	for _, p := range c.GetRecentPlans() {
 		if p.GetId() == id {
@@ -156,13 +159,13 @@
 	return nil
 }
 
-// CheckBaseRevision refuses a plan whose base is not the document's revision and says what
-// was applied in between.
+// CheckBaseRevision refuses a plan if its base revision is not the document's. The refusal lists the
+// plans applied since.
 func CheckBaseRevision(c *schema.Config, base uint64) *Refusal {
 	if c.GetRevision() == base {
 		return nil
 	}
-	r := newRefusal(BaseRevisionChanged, "the plan was made for revision %d and revision %d is in force; plan again", base, c.GetRevision())
+	r := newRefusal(BaseRevisionChanged, "the plan was made for revision %d, but revision %d is in force; plan again", base, c.GetRevision())
 	for _, h := range HistoryOf(c).Plans {
 		if h.Revision > base {
 			r.AppliedSince = append(r.AppliedSince, h)
@@ -174,7 +177,7 @@
 	return r
 }
 
-// HistoryOf returns the document's recent plans.
+// HistoryOf returns the recent plans of a document.
 func HistoryOf(c *schema.Config) schema.History {
 	h := schema.History{Revision: c.GetRevision(), Plans: []schema.HistoryEntry{}}
 	for _, p := range c.GetRecentPlans() {
@@ -186,9 +189,9 @@
 	return h
 }
 
-// Diverged tells whether two documents of one revision were made by different plans,
-// which happens when a platform comes back older and is changed before the entries
-// that know better can tell.
+// Diverged reports whether two documents have the same revision but different contents. That happens if
+// the platform's service returns with an older document, and an operator changes it before the entries
+// with the newer document report it.
 func Diverged(a, b *schema.Config) bool {
 	return a.GetRevision() == b.GetRevision() && !proto.Equal(a, b)
 }
--- a/config/settings.go
+++ b/config/settings.go
@@ -1,3 +1,5 @@
+// Fields of messages set from an operator's text of the form "field=value".
+
 package config
 
 import (
@@ -10,11 +12,11 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// setFields sets fields of a message from "field=value". A field of a nested message
-// is named with a dot ("needs.cpus=4"); a list's values are separated by commas.
+// setFields sets fields of a message from settings of the form "field=value". A dot separates the name
+// of a nested message from its field ("needs.cpus=4"), and commas separate the values of a list.
 func setFields(m proto.Message, settings []string) error {
 	if len(settings) == 0 {
-		return errors.Newf("name at least one field=value; fields are: %s", fieldNames(m.ProtoReflect().Descriptor(), ""))
+		return errors.Newf("expected at least one field=value, got none; fields are: %s", fieldNames(m.ProtoReflect().Descriptor(), ""))
 	}
 	for _, s := range settings {
 		name, value, ok := strings.Cut(s, "=")
@@ -32,16 +34,16 @@
 	name, rest, nested := strings.Cut(name, ".")
 	field := m.Descriptor().Fields().ByName(protoreflect.Name(name))
 	if field == nil {
-		return errors.Newf("there is no such field; fields are: %s", fieldNames(m.Descriptor(), ""))
+		return errors.Newf("there is no field %q; fields are: %s", name, fieldNames(m.Descriptor(), ""))
 	}
 	if field.Message() != nil {
 		if !nested {
-			return errors.Newf("name one of its fields: %s", fieldNames(field.Message(), name+"."))
+			return errors.Newf("%q is not a single value; set one of its fields: %s", name, fieldNames(field.Message(), name+"."))
 		}
 		return setField(m.Mutable(field).Message(), rest, value)
 	}
 	if nested {
-		return errors.New("the field has no fields of its own")
+		return errors.Newf("field %q has no fields of its own", name)
 	}
 	if field.IsList() {
 		return setList(m, field, value)
@@ -89,10 +91,10 @@
 	case protoreflect.EnumKind:
 		return parseEnum(field.Enum(), value)
 	}
-	return protoreflect.Value{}, errors.Newf("fields of type %s can't be set this way", field.Kind())
+	return protoreflect.Value{}, errors.Newf("fields of type %s cannot be set by field=value", field.Kind())
 }
 
-// parseEnum accepts a value's name without the enum's own, in lower case.
+// parseEnum accepts the name of a value in lower case, without the enum's name as prefix.
 func parseEnum(enum protoreflect.EnumDescriptor, value string) (protoreflect.Value, error) {
 	var accepted []string
 	for i := range enum.Values().Len() {
@@ -109,11 +111,13 @@
 	return protoreflect.Value{}, errors.Newf("accepted are %s", strings.Join(accepted, ", "))
 }
 
+// shortEnumName returns the name of an enum value in lower case, without the enum's name as prefix.
 func shortEnumName(enum protoreflect.EnumDescriptor, v protoreflect.EnumValueDescriptor) string {
 	prefix := strings.ToLower(string(enum.Name())) + "_"
 	return strings.TrimPrefix(strings.ToLower(string(v.Name())), prefix)
 }
 
+// fieldNames lists the names of all fields of a message, in the form that setFields accepts.
 func fieldNames(d protoreflect.MessageDescriptor, prefix string) string {
 	var names []string
 	for i := range d.Fields().Len() {
--- a/config/validate.go
+++ b/config/validate.go
@@ -1,3 +1,5 @@
+// Validation of a configuration document.
+
 package config
 
 import (
@@ -14,19 +16,19 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// Bounds of what a document may ask for.
+// Bounds for the values in a document.
 const (
 	MaxTasks      = 160
 	MaxBodyBytes  = 16 << 20
 	MaxDeadlineMS = 10 * 60 * 1000
-	// MaxDocumentBytes is the largest document in bytes; the platform holds values up to
-	// 1 MiB, and the rest is for the history.
+	// MaxDocumentBytes is the maximum size of a document. The platform stores values of up to 1 MiB, and
+	// the rest is reserved for the history.
 	MaxDocumentBytes = 960 << 10
-	// maxName is the longest name of a kind, team or drained VM in bytes.
+	// maxNameBytes is the maximum length of the name of a kind, a team or a drained VM.
 	maxNameBytes = 200
 )
 
-// Validate returns an error that names every fault of the document.
+// Validate returns an error that names every problem of the document.
 func Validate(c *schema.Config) error {
 	var problems []string
 	report := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
@@ -46,6 +48,7 @@
 	return errors.Newf("invalid configuration: %s", strings.Join(problems, "; "))
 }
 
+// reportFunc records a problem of the document.
 type reportFunc func(format string, args ...any)
 
 func checkLimits(l *schema.Limits, report reportFunc) {
@@ -74,7 +77,7 @@
 		report("kind %q: there is no urgency %d", name, k.GetUrgency())
 	}
 	if k.GetOneCall() && !k.GetIdempotent() {
-		report("kind %q: one_call needs idempotent, for a repeated call makes a second submission", name)
+		report("kind %q: one_call requires idempotent, because a repeated call makes a second submission", name)
 	}
 }
 
@@ -95,7 +98,7 @@
 	}
 }
 
-// checkNames checks the names that operators choose.
+// checkNames checks the names that operators have chosen.
 func checkNames(c *schema.Config, report reportFunc) {
 	check := func(what, name string) {
 		if len(name) > maxNameBytes || !utf8.ValidString(name) {
@@ -115,7 +118,7 @@
 	}
 }
 
-// IsTokenHash tells whether s is the hash of a token as HashToken writes it.
+// IsTokenHash reports whether s is the hash of a token in the form that HashToken returns.
 func IsTokenHash(s string) bool {
 	b, err := hex.DecodeString(s)
 	return err == nil && len(b) == sha256.Size && strings.ToLower(s) == s
--- a/verdict/example_test.go
+++ b/verdict/example_test.go
@@ -8,15 +8,15 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// A step that fails returns a failure; its caller repeats the step elsewhere only if
-// it certainly did not run.
+// A failed step returns a failure. The caller retries the step elsewhere only if the step certainly did
+// not run.
 func Example() {
 	refused := verdict.New(verdict.NotRun, verdict.WorkerRefused, "worker %s refused the task", "10.0.0.1:80").WithRetryAfter(time.Second)
 	lost := verdict.Wrap(io.ErrUnexpectedEOF, verdict.MayHaveRun, verdict.ConnectionLost, "the connection broke")
 	for _, f := range []*verdict.Failure{refused, lost} {
 		fmt.Println(f.Verdict, f.ResubmitSafety(false), f)
 	}
-	// Nothing is known about other errors, so they may have run.
+	// Nothing is known about other errors, so the work may have run.
 	fmt.Println(verdict.FromError(io.EOF).Verdict)
 	// Output:
 	// not-run safe worker_refused (not-run): worker 10.0.0.1:80 refused the task
--- a/verdict/reason.go
+++ b/verdict/reason.go
@@ -1,9 +1,11 @@
+// Reasons of failures, as callers and metrics show them.
+
 package verdict
 
-// Reason names why a request was refused, retried or failed. Each has its counter.
+// Reason is the reason why a request was refused, retried or failed. The metrics count each reason.
 type Reason string
 
-// Reasons of refusal: the request's own fault.
+// Reasons for refusing a request because of its contents.
 const (
 	BadRequest        Reason = "bad_request"
 	Unauthorized      Reason = "unauthorized"
@@ -21,7 +23,7 @@
 	MethodNotAllowed  Reason = "method_not_allowed"
 )
 
-// Reasons of refusal: no room now.
+// Reasons for refusing a request because there is no capacity for it now.
 const (
 	OverQuota     Reason = "over_quota"
 	Overloaded    Reason = "overloaded"
@@ -33,13 +35,13 @@
 	KindHeld      Reason = "kind_held"
 )
 
-// Reasons why a request to the owner of an identifier failed.
+// Reasons why a request to the entry that owns an identifier failed.
 const (
 	OwnerUnreachable Reason = "owner_unreachable"
 	OwnerGone        Reason = "owner_gone"
 )
 
-// Reasons why a task was retried, or its job failed.
+// Reasons why a task was retried or its job failed.
 const (
 	DialFailed       Reason = "dial_failed"
 	NothingSent      Reason = "nothing_sent"
