--- a/config/effects.go
+++ b/config/effects.go
@@ -148,10 +148,10 @@
 func warnings(before, after *schema.Config, vms []*schema.Vm, load FleetLoad) []string {
 	workers, racks, domains := listedNames(vms)
 	var list []string
-	warnUnlisted := func(what string, before, after []string, known map[string]bool) {
+	warnUnlisted := func(noun string, before, after []string, known map[string]bool) {
 		for _, name := range after {
 			if !known[name] && !slices.Contains(before, name) {
-				list = append(list, fmt.Sprintf("%s %s is not in the VM list", what, name))
+				list = append(list, fmt.Sprintf("%s %s is not in the VM list", noun, name))
 			}
 		}
 	}
--- a/config/index.go
+++ b/config/index.go
@@ -35,9 +35,9 @@
 
 // TeamOf returns the team of a token. It looks up the hash of the token, so the duration of the lookup
 // reveals nothing about the tokens of other teams.
-func (x *Index) TeamOf(token string) (name string, ok bool) {
-	name, ok = x.teamsByHash[HashToken(token)]
-	return name, ok
+func (x *Index) TeamOf(token string) (team string, ok bool) {
+	team, ok = x.teamsByHash[HashToken(token)]
+	return team, ok
 }
 
 // HashToken returns the hash of a token in the form that the document contains.
--- a/config/plan.go
+++ b/config/plan.go
@@ -165,16 +165,16 @@
 	if c.GetRevision() == base {
 		return nil
 	}
-	r := newRefusal(BaseRevisionChanged, "the plan was made for revision %d, but revision %d is in force; plan again", base, c.GetRevision())
+	refusal := newRefusal(BaseRevisionChanged, "the plan was made for revision %d, but revision %d is in force; plan again", base, c.GetRevision())
 	for _, h := range HistoryOf(c).Plans {
 		if h.Revision > base {
-			r.AppliedSince = append(r.AppliedSince, h)
+			refusal.AppliedSince = append(refusal.AppliedSince, h)
 		}
 	}
-	if missing := c.GetRevision() - base; c.GetRevision() > base && uint64(len(r.AppliedSince)) < missing {
-		r.Message += fmt.Sprintf(" (%d changes in between, the last %d are known)", missing, len(r.AppliedSince))
+	if missing := c.GetRevision() - base; c.GetRevision() > base && uint64(len(refusal.AppliedSince)) < missing {
+		refusal.Message += fmt.Sprintf(" (%d changes in between, the last %d are known)", missing, len(refusal.AppliedSince))
 	}
-	return r
+	return refusal
 }
 
 // HistoryOf returns the recent plans of a document.
--- a/config/settings.go
+++ b/config/settings.go
@@ -98,13 +98,13 @@
 func parseEnum(enum protoreflect.EnumDescriptor, value string) (protoreflect.Value, error) {
 	var accepted []string
 	for i := range enum.Values().Len() {
-		v := enum.Values().Get(i)
-		name := shortEnumName(enum, v)
-		if v.Number() == 0 {
+		enumValue := enum.Values().Get(i)
+		name := shortEnumName(enum, enumValue)
+		if enumValue.Number() == 0 {
 			continue
 		}
 		if name == value {
-			return protoreflect.ValueOfEnum(v.Number()), nil
+			return protoreflect.ValueOfEnum(enumValue.Number()), nil
 		}
 		accepted = append(accepted, name)
 	}
--- a/config/validate.go
+++ b/config/validate.go
@@ -100,9 +100,9 @@
 
 // checkNames checks the names that operators have chosen.
 func checkNames(c *schema.Config, report reportFunc) {
-	check := func(what, name string) {
+	check := func(noun, name string) {
 		if len(name) > maxNameBytes || !utf8.ValidString(name) {
-			report("%s %.40q: names are UTF-8 of up to %d bytes", what, name, maxNameBytes)
+			report("%s %.40q: names are UTF-8 of up to %d bytes", noun, name, maxNameBytes)
 		}
 	}
 	for name := range c.GetKinds() {
