--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -172,7 +172,7 @@
 	assert.Equal(t, writeBatch(t, l, m, 0), "b=stored ")
 }
 
-// A daemon is suspended, another takes it for lost and removes its ownership record. When the daemon
+// A daemon is suspended, another considers it lost and removes its ownership record. When the daemon
 // resumes, the store refuses its write as a whole, new jobs too, and the daemon owns no jobs any more.
 func TestFencedDaemonWritesNothing(t *testing.T) {
 	m := newMemoryStore()
