--- a/schema/caller_plain.go
+++ b/schema/caller_plain.go
@@ -6,51 +6,51 @@
 	json "encoding/json"
 )
 
-// ReserveRequest asks for identifiers. Nothing runs.
+// ReserveRequest reserves submission identifiers. It starts no work.
 type ReserveRequest struct {
-	// Number of identifiers, 1 when left out.
+	// Number of identifiers; 1 if omitted.
 	Count int32 `json:"count"`
 }
 
-// ReserveReply carries the reserved submission identifiers.
+// ReserveReply returns the reserved submission identifiers.
 type ReserveReply struct {
 	Ids []string `json:"ids"`
-	// Milliseconds within which each identifier must be used first.
+	// Time in milliseconds within which the caller must use each identifier for the first time.
 	UseWithinMs int64 `json:"use_within_ms"`
 }
 
-// Job is one request: tasks of one kind whose results form one answer.
+// Job is one request: tasks of one kind, whose results form one answer.
 type Job struct {
 	// Name of a kind in the configuration.
 	Kind string `json:"kind"`
-	// "high", "normal" or "low"; the kind's own when left out.
+	// "high", "normal" or "low"; the urgency of the kind if omitted.
 	Urgency string `json:"urgency,omitempty"`
-	// Milliseconds from receipt to the deadline; the kind's own when 0.
+	// Milliseconds from receipt to the deadline; the deadline of the kind if 0.
 	DeadlineMs int64  `json:"deadline_ms,omitempty"`
 	Tasks      []Task `json:"tasks"`
 }
 
 // Task is one unit of work, run by one worker.
 type Task struct {
-	// Any JSON value, handed to the worker as it is.
+	// Any JSON value, passed to the worker unchanged.
 	Payload json.RawMessage `json:"payload"`
 }
 
-// Answer is the one ending of a submission: complete with every result, or failed.
+// Answer is the result of a submission, which has exactly one: complete with all results, or failed.
 type Answer struct {
 	Id string `json:"id"`
 	// "complete" or "failed".
 	Outcome string `json:"outcome"`
-	// One result per task, in the order of the tasks.
+	// One result for each task, in the order of the tasks.
 	Results []json.RawMessage `json:"results,omitempty"`
 	// "not-run" or "may-have-run".
 	Verdict string `json:"verdict,omitempty"`
-	// Reason of the failure, one of the constants of package verdict.
+	// Reason for the failure, one of the constants of package verdict.
 	Reason string `json:"reason,omitempty"`
-	// What went wrong and what to do, for a person.
+	// Description of the failure and advice, for people.
 	Message string `json:"message,omitempty"`
-	// Whether a new submission of the same job is harmless: "safe" or "unsafe".
+	// Whether the caller can safely submit the same job again: "safe" or "unsafe".
 	Resubmit string `json:"resubmit,omitempty"`
-	// Milliseconds to wait before coming back.
+	// Milliseconds to wait before the next request.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
 }
--- a/schema/load_plain.go
+++ b/schema/load_plain.go
@@ -2,41 +2,41 @@
 
 package schema
 
-// LoadProfile says what the jobs of a load look like.
+// LoadProfile describes the jobs of a load.
 type LoadProfile struct {
-	// Classes of jobs, chosen by their weights.
+	// Classes of jobs. The generator chooses a class by its weight.
 	Classes []LoadClass `json:"classes"`
 }
 
 // LoadClass is one class of jobs.
 type LoadClass struct {
 	Name string `json:"name"`
-	// Kind in the configuration.
+	// Kind in the configuration document.
 	Kind string `json:"kind"`
-	// "high", "normal" or "low"; the kind's own when left out.
+	// "high", "normal" or "low"; the urgency of the kind if omitted.
 	Urgency string `json:"urgency,omitempty"`
 	// Share of the jobs, relative to the other classes.
 	Weight float64 `json:"weight"`
-	// Tasks of a job, spread evenly between the two.
+	// Bounds of the number of tasks of a job, which is uniformly distributed between them.
 	MinTasks int32 `json:"min_tasks"`
 	MaxTasks int32 `json:"max_tasks"`
-	// Milliseconds from sending to the deadline; the kind's own when 0.
+	// Milliseconds from sending to the deadline; the deadline of the kind if 0.
 	DeadlineMs int64       `json:"deadline_ms,omitempty"`
 	RunTime    LoadRunTime `json:"run_time"`
-	// Whether the job is sent in one call; otherwise an identifier is reserved first.
+	// The job is sent in one call; otherwise the caller reserves an identifier first.
 	OneCall bool `json:"one_call,omitempty"`
-	// Share of the jobs that their caller cancels, 0 to 1.
+	// Share of the jobs that the caller cancels, 0 to 1.
 	CancelShare float64 `json:"cancel_share,omitempty"`
-	// Milliseconds after which such a job is canceled.
+	// Milliseconds after which the caller cancels such a job.
 	CancelAfterMs int64 `json:"cancel_after_ms,omitempty"`
-	// Declared run time over the mean of the true one, 1 when 0. Only an experiment,
-	// which writes the configuration, makes use of it.
+	// Declared run time divided by the mean of the true run time; 0 is treated as 1. Only an experiment
+	// uses it, because an experiment writes the configuration.
 	DeclaredFactor float64 `json:"declared_factor,omitempty"`
 }
 
 // LoadRunTime is a distribution of run times.
 type LoadRunTime struct {
-	// "fixed" (the median), "uniform" or "lognormal" (cut off at the bounds).
+	// "fixed" (at the median), "uniform" or "lognormal" (truncated at the bounds).
 	Distribution string `json:"distribution"`
 	MinMs        int64  `json:"min_ms,omitempty"`
 	MedianMs     int64  `json:"median_ms,omitempty"`
@@ -49,13 +49,13 @@
 	SlowMaxMs int64   `json:"slow_max_ms,omitempty"`
 }
 
-// LoadCount is a counter with its name.
+// LoadCount is a named counter.
 type LoadCount struct {
 	Name  string `json:"name"`
 	Count int64  `json:"count"`
 }
 
-// LoadQuantiles summarise a distribution.
+// LoadQuantiles summarizes a distribution.
 type LoadQuantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -64,26 +64,26 @@
 	Max   float64 `json:"max"`
 }
 
-// LoadWindow is one second of a run.
+// LoadWindow is the result of the jobs sent in one second of a run.
 type LoadWindow struct {
-	// Seconds since the start of the load at which the jobs were sent.
+	// Second in which the jobs were sent, from the start of the load.
 	Second   int32 `json:"second"`
 	Complete int64 `json:"complete"`
 	Refused  int64 `json:"refused"`
 	Failed   int64 `json:"failed"`
-	// 99th percentile of response time over ideal.
+	// 99th percentile of response time divided by ideal response time.
 	P99 float64 `json:"p99"`
 }
 
-// LoadReport is the result of one run. The warm-up is left out of all figures.
+// LoadReport is the result of one run. All figures exclude the warm-up.
 type LoadReport struct {
-	// What was run: load, policy, fault and so on.
+	// Parameters of the run: load, policy, fault and others.
 	Name          string  `json:"name"`
 	Seconds       float64 `json:"seconds"`
 	Seed          uint64  `json:"seed"`
 	JobsPerSecond float64 `json:"jobs_per_second"`
-	// Milliseconds of the round trips that a job can't avoid, measured idle: in one
-	// call, and with an identifier reserved first.
+	// Milliseconds of the round trips that every job needs, measured on an idle system: for a job sent in
+	// one call, and for a job whose identifier is reserved first.
 	RoundTripOneCallMs  float64 `json:"round_trip_one_call_ms"`
 	RoundTripReservedMs float64 `json:"round_trip_reserved_ms"`
 	Jobs                int64   `json:"jobs"`
@@ -92,26 +92,26 @@
 	Refused             int64   `json:"refused"`
 	Failed              int64   `json:"failed"`
 	Canceled            int64   `json:"canceled"`
-	// Jobs whose caller got no answer, with the errors in errors.
+	// Jobs whose caller got no answer. Field errors counts the causes.
 	Unanswered int64 `json:"unanswered"`
-	// Response time over ideal of complete jobs; the ideal is the longest task on an
-	// idle worker plus the round trips.
+	// Response time of complete jobs divided by the ideal response time: the run time of the longest task
+	// on an idle worker plus the round trips.
 	Ratio      LoadQuantiles `json:"ratio"`
 	ResponseMs LoadQuantiles `json:"response_ms"`
-	// Milliseconds until a refusal was told.
+	// Milliseconds until the caller received a refusal.
 	RefusalMs LoadQuantiles `json:"refusal_ms"`
 	Refusals  []LoadCount   `json:"refusals"`
 	Failures  []LoadCount   `json:"failures"`
 	Errors    []LoadCount   `json:"errors"`
-	// Complete jobs that were answered after their deadline.
+	// Complete jobs whose answer came after the deadline.
 	Late    int64        `json:"late"`
 	Waste   LoadWaste    `json:"waste"`
 	Machine LoadMachine  `json:"machine"`
 	Windows []LoadWindow `json:"windows,omitempty"`
-	// Response time over ideal by class, in the profile's order.
+	// Response time divided by ideal response time for each class, in the profile's order.
 	Classes []LoadClassReport `json:"classes"`
-	// Slots that the jobs sent would keep busy all the time: their summed run times over
-	// the length of the run.
+	// Average number of slots that the sent jobs occupy: the sum of their run times divided by the length
+	// of the run.
 	OfferedSlots float64 `json:"offered_slots"`
 }
 
@@ -121,98 +121,99 @@
 	Ratio LoadQuantiles `json:"ratio"`
 }
 
-// LoadWaste counts messages and work without use, from the entries' counters and the
-// backend servers' own.
+// LoadWaste counts useless messages and useless work, from the counters of the entries and of the
+// backend servers.
 type LoadWaste struct {
 	// Task starts counted by the backend servers.
 	Starts int64 `json:"starts"`
-	// Starts of a task that had started before.
+	// Starts of tasks that had started before.
 	Doubled int64 `json:"doubled"`
-	// Tasks refused by backend servers.
+	// Tasks that backend servers refused.
 	RefusedByWorkers int64 `json:"refused_by_workers"`
-	// Tasks that had to be started once more, by reason, counted by the entries.
+	// Tasks that the entries had to start again, by reason, from the entries' counters.
 	Retries []LoadCount `json:"retries"`
-	// Requests for slots that brought nothing.
+	// Requests for slots that returned none.
 	EmptyBorrows int64 `json:"empty_borrows"`
-	// Wasted messages per start: refusals by workers, retries for another reason,
-	// requests for slots that brought nothing, doubled starts.
+	// Useless messages per start: refusals by workers, retries for other reasons, requests for slots that
+	// returned none, and repeated starts.
 	PerTask float64 `json:"per_task"`
-	// Messages between entries, by kind; heartbeats are not counted as waste.
+	// Messages between entries, by kind. Heartbeats do not count as useless.
 	PeerMessages []LoadCount `json:"peer_messages"`
-	// Run time at the backend servers, in seconds.
+	// Run time at the backend servers in seconds.
 	BusySeconds float64 `json:"busy_seconds"`
-	// Share of that run time that went into jobs that did not complete.
+	// Share of that run time that was spent on jobs that did not complete.
 	UselessWork float64 `json:"useless_work"`
 }
 
-// LoadMachine tells how busy the machine was. Figures from a saturated machine say
-// nothing about the system.
+// LoadMachine is the utilization of the machine. The figures of a saturated machine say nothing about
+// the system under test.
 type LoadMachine struct {
-	// Busy share of all processors, 0 to 1.
+	// Utilization of all processors, 0 to 1.
 	Busy float64 `json:"busy"`
-	// Processors used by this process.
+	// Number of processors that this process used.
 	ProcessCores float64 `json:"process_cores"`
-	// Set when the machine was too busy for the figures to be believed.
+	// The machine was too busy for valid figures.
 	Saturated bool `json:"saturated"`
 }
 
-// FleetProfile says what a fleet of daemons is made of, for working out what each of them
-// holds, reads and sends at several sizes.
+// FleetProfile describes a fleet of daemons. It is the input of the estimate of the entries that a daemon
+// holds, reads and sends in fleets of several sizes.
 type FleetProfile struct {
-	// Numbers of daemons to work out.
+	// Fleet sizes to estimate, in daemons.
 	Daemons []int32 `json:"daemons"`
-	// Workers for each daemon.
+	// Number of workers for each daemon.
 	WorkersPerDaemon float64 `json:"workers_per_daemon"`
-	// Failure domains, over which daemons and workers are spread evenly.
+	// Number of failure domains. Daemons and workers are distributed evenly over them.
 	Domains int32 `json:"domains"`
-	// Kinds of machines of daemons; their shares add up to 1.
+	// Types of the daemons' machines. Their shares add up to 1.
 	Machines []FleetMachine `json:"machines"`
-	// Milliseconds between a worker's renewals of its entry.
+	// Milliseconds between two renewals of a worker's entry.
 	RenewalMs int64 `json:"renewal_ms"`
-	// Bytes of an entry in an answer of the store.
+	// Size of an entry in the store's answers, in bytes.
 	EntryBytes int64 `json:"entry_bytes"`
-	// Megabits a second of the store's link.
+	// Bandwidth of the store's link in megabits per second.
 	StoreMbps float64 `json:"store_mbps"`
 }
 
-// FleetMachine is a kind of machine.
+// FleetMachine is a type of machine.
 type FleetMachine struct {
 	Share float64 `json:"share"`
 	Cores float64 `json:"cores"`
 	Mbps  float64 `json:"mbps"`
 }
 
-// FleetReport is what was worked out for one size.
+// FleetReport is the estimate for one fleet size.
 type FleetReport struct {
 	Daemons int32 `json:"daemons"`
 	Workers int32 `json:"workers"`
 	Cells   int32 `json:"cells"`
-	// Daemons and workers of a cell.
+	// Number of daemons and of workers in a cell.
 	CellDaemons FleetRange `json:"cell_daemons"`
 	CellWorkers FleetRange `json:"cell_workers"`
-	// Workers that a daemon holds, of those that hold any, and how many hold any.
+	// Workers held by a daemon, over the daemons that hold any, and the number of these daemons.
 	Held    FleetRange `json:"held"`
 	Holders int32      `json:"holders"`
-	// Heartbeats that a daemon sends a second.
+	// Heartbeats that a daemon sends per second.
 	Heartbeats FleetRange `json:"heartbeats"`
-	// Daemons that tell others of the workers' entries, and those of them that read the store.
+	// Number of relays, which send the workers' entries to other daemons, and of root relays, the relays
+	// that read the store.
 	Readers int32 `json:"readers"`
 	Roots   int32 `json:"roots"`
-	// Kilobytes a second that a root reads, what part that is of the narrowest root's link, and
-	// what part of the store's link all of them take.
+	// Kilobytes per second that a root relay reads, the share that this takes of the narrowest link of a
+	// root relay, and the share of the store's link that all root relays take together.
 	RootKbytes      float64 `json:"root_kbytes"`
 	NarrowLinkShare float64 `json:"narrow_link_share"`
 	StoreLinkShare  float64 `json:"store_link_share"`
-	// Seconds in which the store's link, and the narrowest root's, carries what the roots read
-	// when all start at once.
+	// Seconds that the store's link, and the narrowest link of a root relay, need for the entries that the
+	// root relays read if all start at once.
 	StartStoreS float64 `json:"start_store_s"`
 	StartRootS  float64 `json:"start_root_s"`
-	// Seconds of the store's link if all readers read it, and if all daemons did.
+	// Seconds that the store's link needs if all relays read the store, and if all daemons do.
 	StartReadersS float64 `json:"start_readers_s"`
 	StartAllS     float64 `json:"start_all_s"`
 }
 
-// FleetRange is the least, the middle and the largest of several figures.
+// FleetRange is the minimum, the median and the maximum of several figures.
 type FleetRange struct {
 	Least  float64 `json:"least"`
 	Middle float64 `json:"middle"`
--- a/schema/operator_plain.go
+++ b/schema/operator_plain.go
@@ -2,88 +2,88 @@
 
 package schema
 
-// Intent says what an operator wants changed.
+// Intent is a change that an operator requests.
 type Intent struct {
 	// One of the Action constants of package config.
 	Action string `json:"action"`
-	// What it is about: a worker's address, a rack as "domain/rack", or the name of a
-	// failure domain, a kind or a team. Limits, init and restore have none.
+	// Object of the action: a worker's address, a rack as "domain/rack", or the name of a failure domain, a
+	// kind or a team. set-limits, init and restore have none.
 	Target string `json:"target,omitempty"`
-	// Fields to set, as "field=value", for set-kind, set-team and set-limits.
+	// Fields to set as "field=value", for set-kind, set-team and set-limits.
 	Settings []string `json:"settings,omitempty"`
-	// First document in protobuf's JSON, for init.
+	// First document in protobuf's JSON format, for init.
 	Document string `json:"document,omitempty"`
-	// Go on although a kind or the whole fleet is left with nowhere to run.
+	// Apply the change although no worker or entry is left for a kind or for the whole fleet.
 	Force bool `json:"force,omitempty"`
 }
 
-// Plan is what would change and what follows. Nothing of it is kept by the entries:
-// a confirmation brings back identifier, base revision, nonce and intent.
+// Plan describes the changes of an intent and their effects. The entries store no plans: a confirmation
+// contains the identifier, the base revision, the nonce and the intent.
 type Plan struct {
-	// Digest of intent, base revision and nonce.
+	// Digest of the intent, the base revision and the nonce.
 	Id string `json:"id"`
-	// Revision that the plan changes; it is refused once another is in force.
+	// Revision that the plan changes. The plan is refused if another revision is in force.
 	BaseRevision uint64 `json:"base_revision"`
-	// Random, so that two operators with the same intent hold two plans.
+	// Random text that distinguishes the plans of two operators with the same intent.
 	Nonce  string `json:"nonce"`
 	Intent Intent `json:"intent"`
-	// Revision that the confirmation would make.
+	// Revision of the document after the confirmation.
 	Revision uint64   `json:"revision"`
 	Changes  []Change `json:"changes"`
 	Effects  Effects  `json:"effects"`
-	// Why a confirmation would be refused; empty when it would not.
+	// Why a confirmation would be refused; empty if it would be applied.
 	Refused string `json:"refused,omitempty"`
 }
 
 // Change is one changed field of the document.
 type Change struct {
 	Field string `json:"field"`
-	// Values before and after; empty when there is none.
+	// Values before and after the change; empty if the field is not set.
 	Before string `json:"before"`
 	After  string `json:"after"`
 }
 
-// Effects are what follows from a change.
+// Effects are the consequences of a change.
 type Effects struct {
-	// Failure domains with workers, before and after.
+	// Failure domains with their workers, before and after the change.
 	Domains []DomainEffect `json:"domains"`
-	// Tasks running now on workers that would get no new work; they are finished.
+	// Tasks that now run on workers that the change excludes from new tasks. These tasks are finished.
 	RunningThere int64 `json:"running_there"`
-	// Tasks running and waiting now in the whole fleet, as far as entries answered.
+	// Tasks that now run and wait in the whole fleet, at the entries that answered.
 	Running int64 `json:"running"`
 	Waiting int64 `json:"waiting"`
-	// Kinds that had workers and would have none.
+	// Kinds that have workers now and none after the change.
 	KindsWithoutWorkers []string `json:"kinds_without_workers,omitempty"`
-	// Teams that would get less than they use now.
+	// Teams that get less after the change than they use now.
 	SqueezedTeams []TeamEffect `json:"squeezed_teams,omitempty"`
-	// What an operator should look at before confirming.
+	// Points that the operator should check before the confirmation.
 	Warnings []string `json:"warnings,omitempty"`
 }
 
-// DomainEffect compares one failure domain before and after. Only workers that may
-// get new work count.
+// DomainEffect compares one failure domain before and after a change. It counts only workers that may
+// get new tasks.
 type DomainEffect struct {
 	Domain        string `json:"domain"`
 	WorkersBefore int64  `json:"workers_before"`
 	WorkersAfter  int64  `json:"workers_after"`
 	SlotsBefore   int64  `json:"slots_before"`
 	SlotsAfter    int64  `json:"slots_after"`
-	// Entries that accept new work.
+	// Entries that accept new jobs.
 	EntriesBefore int64 `json:"entries_before"`
 	EntriesAfter  int64 `json:"entries_after"`
 }
 
-// TeamEffect tells why a team would get less than it uses.
+// TeamEffect describes a team that gets less after the change than it uses now.
 type TeamEffect struct {
 	Team string `json:"team"`
-	// Task starts per second now, and the quota before and after; 0 means no limit.
+	// Task starts per second now, and the quota before and after the change; 0: no limit.
 	StartsPerSecondNow int64  `json:"starts_per_second_now"`
 	QuotaBefore        int64  `json:"quota_before"`
 	QuotaAfter         int64  `json:"quota_after"`
 	Why                string `json:"why"`
 }
 
-// Confirmation asks that a plan be carried out.
+// Confirmation requests that a plan be applied.
 type Confirmation struct {
 	Id           string `json:"id"`
 	BaseRevision uint64 `json:"base_revision"`
@@ -91,21 +91,21 @@
 	Intent       Intent `json:"intent"`
 }
 
-// Outcome is how a confirmation ended.
+// Outcome is the result of a confirmation.
 type Outcome struct {
 	// "applied", "refused" or "unknown".
 	Outcome string `json:"outcome"`
-	// One of the Reason constants of package config, when not applied.
+	// One of the Reason constants of package config, if the plan was not applied.
 	Reason string `json:"reason,omitempty"`
-	// What happened and what to do, for a person.
+	// Description of the result and advice, for people.
 	Message string `json:"message"`
-	// Revision that the plan made, when applied.
+	// Revision that the plan made, if it was applied.
 	Revision uint64 `json:"revision,omitempty"`
-	// Whether the plan had been applied before this confirmation came.
+	// The plan had already been applied before this confirmation arrived.
 	Earlier bool `json:"earlier,omitempty"`
-	// Plans that were applied since the base revision.
+	// Plans applied since the base revision.
 	Moved []HistoryEntry `json:"moved,omitempty"`
-	// Milliseconds to wait before asking again; 0 when that would not help.
+	// Milliseconds to wait before a retry; 0 if a retry does not help.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
 }
 
@@ -115,7 +115,7 @@
 	Revision uint64 `json:"revision"`
 	Operator string `json:"operator"`
 	Intent   string `json:"intent"`
-	// Milliseconds since the Unix epoch.
+	// Time of the confirmation, in milliseconds since the Unix epoch.
 	ConfirmedUnixMs int64 `json:"confirmed_unix_ms"`
 }
 
@@ -125,18 +125,18 @@
 	Plans    []HistoryEntry `json:"plans"`
 }
 
-// FleetStatus describes all entries as one of them sees them.
+// FleetStatus describes all entries as the queried entry knows them.
 type FleetStatus struct {
-	// Highest revision in force at any entry that answered.
+	// Highest revision in force at the entries that answered.
 	Revision uint64 `json:"revision"`
-	// Revision of the document last read from the platform by the asked entry.
+	// Revision of the document that the queried entry last read from the platform.
 	PlatformRevision uint64        `json:"platform_revision"`
 	Entries          []EntryStatus `json:"entries"`
-	// Addresses of entries that did not answer in time.
+	// Addresses of the entries that did not answer within the time-out.
 	Unreachable []string `json:"unreachable,omitempty"`
 }
 
-// EntryStatus describes one entry.
+// EntryStatus describes one entry daemon.
 type EntryStatus struct {
 	Address         string   `json:"address"`
 	Domain          string   `json:"domain"`
--- a/schema/settings_plain.go
+++ b/schema/settings_plain.go
@@ -17,8 +17,8 @@
 	MetricsAddress netip.AddrPort `name:"metrics-address" env:"LAVENDERCLEAT_METRICS_ADDRESS" help:"Address (IP:port) of /metrics, /healthz and /readyz." default:"127.0.0.1:7402"`
 	// Address (IP:port, UDP) of the peer interface; also names this entry to its peers.
 	PeerAddress netip.AddrPort `name:"peer-address" env:"LAVENDERCLEAT_PEER_ADDRESS" help:"Address (IP:port, UDP) of the peer interface; also names this entry to its peers." default:"127.0.0.1:7403"`
-	// Address (IP:port, UDP) to listen on for peers when it differs from the one peers use.
-	PeerListen netip.AddrPort `name:"peer-listen" env:"LAVENDERCLEAT_PEER_LISTEN" help:"Address (IP:port, UDP) to listen on for peers when it differs from the one peers use." optional:""`
+	// Address (IP:port, UDP) to listen on for peers, if it differs from peer_address.
+	PeerListen netip.AddrPort `name:"peer-listen" env:"LAVENDERCLEAT_PEER_LISTEN" help:"Address (IP:port, UDP) to listen on for peers, if it differs from peer_address." optional:""`
 	// Failure domain of this entry.
 	Domain string `name:"domain" env:"LAVENDERCLEAT_DOMAIN" help:"Failure domain of this entry." required:""`
 	// URL of the platform's service.
@@ -35,164 +35,164 @@
 	Operators []string `name:"operators" env:"LAVENDERCLEAT_OPERATORS" help:"Operators as name:sha256 of the token in hexadecimal."`
 	// Time between heartbeats.
 	HeartbeatInterval time.Duration `name:"heartbeat-interval" env:"LAVENDERCLEAT_HEARTBEAT_INTERVAL" help:"Time between heartbeats." default:"500ms"`
-	// Silence after which a peer counts as dead.
-	PeerTimeout time.Duration `name:"peer-timeout" env:"LAVENDERCLEAT_PEER_TIMEOUT" help:"Silence after which a peer counts as dead." default:"2s"`
-	// Time within which a reserved identifier must be used first.
-	IdentifierWindow time.Duration `name:"identifier-window" env:"LAVENDERCLEAT_IDENTIFIER_WINDOW" help:"Time within which a reserved identifier must be used first." default:"5m"`
-	// Time for which an ended submission's answer is kept.
-	AnswerRetention time.Duration `name:"answer-retention" env:"LAVENDERCLEAT_ANSWER_RETENTION" help:"Time for which an ended submission's answer is kept." default:"5m"`
-	// Most bytes of kept answers; at the bound new submissions are refused.
-	AnswerBytes int64 `name:"answer-bytes" env:"LAVENDERCLEAT_ANSWER_BYTES" help:"Most bytes of kept answers; at the bound new submissions are refused." default:"134217728"`
-	// Longest time a planned stop waits for jobs in flight.
-	StopTimeout time.Duration `name:"stop-timeout" env:"LAVENDERCLEAT_STOP_TIMEOUT" help:"Longest time a planned stop waits for jobs in flight." default:"30s"`
-	// Time between readiness going off and the end of accepting, for the balancer.
-	StopDelay time.Duration `name:"stop-delay" env:"LAVENDERCLEAT_STOP_DELAY" help:"Time between readiness going off and the end of accepting, for the balancer." default:"2s"`
+	// Time without a heartbeat after which a peer counts as unreachable.
+	PeerTimeout time.Duration `name:"peer-timeout" env:"LAVENDERCLEAT_PEER_TIMEOUT" help:"Time without a heartbeat after which a peer counts as unreachable." default:"2s"`
+	// Time within which a reserved identifier must be used for the first time.
+	IdentifierWindow time.Duration `name:"identifier-window" env:"LAVENDERCLEAT_IDENTIFIER_WINDOW" help:"Time within which a reserved identifier must be used for the first time." default:"5m"`
+	// Time for which the answer of an ended submission is kept.
+	AnswerRetention time.Duration `name:"answer-retention" env:"LAVENDERCLEAT_ANSWER_RETENTION" help:"Time for which the answer of an ended submission is kept." default:"5m"`
+	// Maximum size of all kept answers in bytes; when it is reached, new submissions are refused.
+	AnswerBytes int64 `name:"answer-bytes" env:"LAVENDERCLEAT_ANSWER_BYTES" help:"Maximum size of all kept answers in bytes; when it is reached, new submissions are refused." default:"134217728"`
+	// Maximum time for which a planned stop waits for jobs in flight.
+	StopTimeout time.Duration `name:"stop-timeout" env:"LAVENDERCLEAT_STOP_TIMEOUT" help:"Maximum time for which a planned stop waits for jobs in flight." default:"30s"`
+	// Time from reporting not ready until the entry accepts no more requests, for the load balancer.
+	StopDelay time.Duration `name:"stop-delay" env:"LAVENDERCLEAT_STOP_DELAY" help:"Time from reporting not ready until the entry accepts no more requests, for the load balancer." default:"2s"`
 	// Idle time after which a connection to a worker is closed.
 	WorkerIdleTimeout time.Duration `name:"worker-idle-timeout" env:"LAVENDERCLEAT_WORKER_IDLE_TIMEOUT" help:"Idle time after which a connection to a worker is closed." default:"1s"`
-	// Time to wait for a connection to a worker.
-	WorkerDialTimeout time.Duration `name:"worker-dial-timeout" env:"LAVENDERCLEAT_WORKER_DIAL_TIMEOUT" help:"Time to wait for a connection to a worker." default:"1s"`
-	// Time without acknowledged data after which a connection to a worker is broken off.
-	WorkerSilenceTimeout time.Duration `name:"worker-silence-timeout" env:"LAVENDERCLEAT_WORKER_SILENCE_TIMEOUT" help:"Time without acknowledged data after which a connection to a worker is broken off." default:"4s"`
-	// Longest wait of one watch at the platform's service, which counts each as a call.
-	PlatformWatchWait time.Duration `name:"platform-watch-wait" env:"LAVENDERCLEAT_PLATFORM_WATCH_WAIT" help:"Longest wait of one watch at the platform's service, which counts each as a call." default:"20s"`
-	// Longest time for the platform's service to answer a call; a watch gets it beyond its wait.
-	PlatformTimeout time.Duration `name:"platform-timeout" env:"LAVENDERCLEAT_PLATFORM_TIMEOUT" help:"Longest time for the platform's service to answer a call; a watch gets it beyond its wait." default:"12s"`
-	// Time between heartbeats with an entry of another failure domain; 0 means as in the own.
-	RemoteHeartbeatInterval time.Duration `name:"remote-heartbeat-interval" env:"LAVENDERCLEAT_REMOTE_HEARTBEAT_INTERVAL" help:"Time between heartbeats with an entry of another failure domain; 0 means as in the own." default:"2s"`
-	// Silence after which a peer of another failure domain counts as dead; 0 means as in the own.
-	RemotePeerTimeout time.Duration `name:"remote-peer-timeout" env:"LAVENDERCLEAT_REMOTE_PEER_TIMEOUT" help:"Silence after which a peer of another failure domain counts as dead; 0 means as in the own." default:"6s"`
-	// Idle time after which a connection to a worker takes no task that is not idempotent.
-	WorkerReuseTimeout time.Duration `name:"worker-reuse-timeout" env:"LAVENDERCLEAT_WORKER_REUSE_TIMEOUT" help:"Idle time after which a connection to a worker takes no task that is not idempotent." default:"100ms"`
+	// Time-out for connecting to a worker.
+	WorkerDialTimeout time.Duration `name:"worker-dial-timeout" env:"LAVENDERCLEAT_WORKER_DIAL_TIMEOUT" help:"Time-out for connecting to a worker." default:"1s"`
+	// Time without acknowledged data after which a connection to a worker is closed.
+	WorkerSilenceTimeout time.Duration `name:"worker-silence-timeout" env:"LAVENDERCLEAT_WORKER_SILENCE_TIMEOUT" help:"Time without acknowledged data after which a connection to a worker is closed." default:"4s"`
+	// Maximum duration of one watch at the platform's service, which counts each watch as a call.
+	PlatformWatchWait time.Duration `name:"platform-watch-wait" env:"LAVENDERCLEAT_PLATFORM_WATCH_WAIT" help:"Maximum duration of one watch at the platform's service, which counts each watch as a call." default:"20s"`
+	// Time-out for an answer of the platform's service; for a watch it is added to the duration of the watch.
+	PlatformTimeout time.Duration `name:"platform-timeout" env:"LAVENDERCLEAT_PLATFORM_TIMEOUT" help:"Time-out for an answer of the platform's service; for a watch it is added to the duration of the watch." default:"12s"`
+	// Time between heartbeats with an entry of another failure domain; 0 means as within the entry's own.
+	RemoteHeartbeatInterval time.Duration `name:"remote-heartbeat-interval" env:"LAVENDERCLEAT_REMOTE_HEARTBEAT_INTERVAL" help:"Time between heartbeats with an entry of another failure domain; 0 means as within the entry's own." default:"2s"`
+	// Time without a heartbeat after which a peer of another failure domain counts as unreachable; 0 means as within the entry's own.
+	RemotePeerTimeout time.Duration `name:"remote-peer-timeout" env:"LAVENDERCLEAT_REMOTE_PEER_TIMEOUT" help:"Time without a heartbeat after which a peer of another failure domain counts as unreachable; 0 means as within the entry's own." default:"6s"`
+	// Idle time after which a connection to a worker is not used for a task that is not idempotent.
+	WorkerReuseTimeout time.Duration `name:"worker-reuse-timeout" env:"LAVENDERCLEAT_WORKER_REUSE_TIMEOUT" help:"Idle time after which a connection to a worker is not used for a task that is not idempotent." default:"100ms"`
 }
 
-// LogSettings are the settings of the log.
+// LogSettings are the settings of logging.
 type LogSettings struct {
-	// Least severe level to log: debug, info, warn or error.
-	LogLevel string `name:"log-level" env:"LAVENDERCLEAT_LOG_LEVEL" help:"Least severe level to log: debug, info, warn or error." default:"info" enum:"debug,info,warn,error"`
+	// Lowest level that is logged: debug, info, warn or error.
+	LogLevel string `name:"log-level" env:"LAVENDERCLEAT_LOG_LEVEL" help:"Lowest level that is logged: debug, info, warn or error." default:"info" enum:"debug,info,warn,error"`
 }
 
-// PlatformSettings are the settings of the stand-in of the platform's service.
+// PlatformSettings are the settings of the platform's stand-in, a simulation of its service for tests.
 type PlatformSettings struct {
 	// Address (IP:port) to listen on.
 	Address netip.AddrPort `name:"address" env:"LAVENDERCLEAT_ADDRESS" help:"Address (IP:port) to listen on." default:"127.0.0.1:7410"`
 }
 
-// BackendSettings are the settings of the stand-in of backend servers.
+// BackendSettings are the settings of the stand-ins of backend servers, for tests.
 type BackendSettings struct {
-	// Address (IP:port) of the first backend server; the others get the next ports, or free ones if the port is 0.
-	Address netip.AddrPort `name:"address" env:"LAVENDERCLEAT_ADDRESS" help:"Address (IP:port) of the first backend server; the others get the next ports, or free ones if the port is 0." default:"127.0.0.1:7420"`
+	// Address (IP:port) of the first backend server; the others get the next ports, or free ports if the port is 0.
+	Address netip.AddrPort `name:"address" env:"LAVENDERCLEAT_ADDRESS" help:"Address (IP:port) of the first backend server; the others get the next ports, or free ports if the port is 0." default:"127.0.0.1:7420"`
 	// Number of backend servers.
 	Count int32 `name:"count" env:"LAVENDERCLEAT_COUNT" help:"Number of backend servers." default:"1"`
-	// Tasks a backend server runs at once.
-	Slots int32 `name:"slots" env:"LAVENDERCLEAT_SLOTS" help:"Tasks a backend server runs at once." default:"8"`
-	// Connections a backend server accepts.
-	Connections int32 `name:"connections" env:"LAVENDERCLEAT_CONNECTIONS" help:"Connections a backend server accepts." default:"64"`
-	// Run time of a task whose payload names none.
-	RunTime time.Duration `name:"run-time" env:"LAVENDERCLEAT_RUN_TIME" help:"Run time of a task whose payload names none." default:"50ms"`
-	// File to which each start is appended as a line "submission/task", so that it outlives a killed process; none when empty.
-	WitnessFile string `name:"witness-file" env:"LAVENDERCLEAT_WITNESS_FILE" help:"File to which each start is appended as a line \"submission/task\", so that it outlives a killed process; none when empty." optional:""`
+	// Number of tasks that a backend server runs at once.
+	Slots int32 `name:"slots" env:"LAVENDERCLEAT_SLOTS" help:"Number of tasks that a backend server runs at once." default:"8"`
+	// Number of connections that a backend server accepts.
+	Connections int32 `name:"connections" env:"LAVENDERCLEAT_CONNECTIONS" help:"Number of connections that a backend server accepts." default:"64"`
+	// Run time of a task whose payload gives none.
+	RunTime time.Duration `name:"run-time" env:"LAVENDERCLEAT_RUN_TIME" help:"Run time of a task whose payload gives none." default:"50ms"`
+	// File to which the server appends a line "submission/task" for each start, so that the record survives a killed process; no file if empty.
+	WitnessFile string `name:"witness-file" env:"LAVENDERCLEAT_WITNESS_FILE" help:"File to which the server appends a line \"submission/task\" for each start, so that the record survives a killed process; no file if empty." optional:""`
 }
 
-// LoadSettings are the settings of a load against running entries.
+// LoadSettings are the settings of a load test against running entries.
 type LoadSettings struct {
-	// URLs of entries' caller interfaces; jobs go to them in turn.
-	Urls []string `name:"urls" env:"LAVENDERCLEAT_URLS" help:"URLs of entries' caller interfaces; jobs go to them in turn." required:""`
-	// URLs of entries' metrics, for the figures that callers can't see.
-	MetricsUrls []string `name:"metrics-urls" env:"LAVENDERCLEAT_METRICS_URLS" help:"URLs of entries' metrics, for the figures that callers can't see."`
-	// Addresses (IP:port) of stand-in backend servers, asked what really ran.
-	Backends []netip.AddrPort `name:"backends" env:"LAVENDERCLEAT_BACKENDS" help:"Addresses (IP:port) of stand-in backend servers, asked what really ran."`
+	// URLs of the entries' caller interfaces; jobs are sent to them in turn.
+	Urls []string `name:"urls" env:"LAVENDERCLEAT_URLS" help:"URLs of the entries' caller interfaces; jobs are sent to them in turn." required:""`
+	// URLs of the entries' metrics, for figures that callers do not see.
+	MetricsUrls []string `name:"metrics-urls" env:"LAVENDERCLEAT_METRICS_URLS" help:"URLs of the entries' metrics, for figures that callers do not see."`
+	// Addresses (IP:port) of stand-in backend servers, which are queried for the tasks that they ran.
+	Backends []netip.AddrPort `name:"backends" env:"LAVENDERCLEAT_BACKENDS" help:"Addresses (IP:port) of stand-in backend servers, which are queried for the tasks that they ran."`
 	// Token of the callers' team.
 	Token string `name:"token" env:"LAVENDERCLEAT_TOKEN" help:"Token of the callers' team." required:""`
-	// Jobs sent per second, whether or not earlier ones were answered.
-	JobsPerSecond float64 `name:"jobs-per-second" env:"LAVENDERCLEAT_JOBS_PER_SECOND" help:"Jobs sent per second, whether or not earlier ones were answered." default:"10"`
+	// Jobs sent per second, whether or not earlier jobs were answered.
+	JobsPerSecond float64 `name:"jobs-per-second" env:"LAVENDERCLEAT_JOBS_PER_SECOND" help:"Jobs sent per second, whether or not earlier jobs were answered." default:"10"`
 	// Time for which jobs are sent, after the warm-up.
 	Duration time.Duration `name:"duration" env:"LAVENDERCLEAT_DURATION" help:"Time for which jobs are sent, after the warm-up." default:"20s"`
-	// Time at the start that is left out of the figures.
-	WarmUp time.Duration `name:"warm-up" env:"LAVENDERCLEAT_WARM_UP" help:"Time at the start that is left out of the figures." default:"3s"`
-	// Seed of the random choices.
-	Seed uint64 `name:"seed" env:"LAVENDERCLEAT_SEED" help:"Seed of the random choices." default:"1"`
-	// File with a load profile in JSON; without one the flags below make a profile of one class.
-	Profile string `name:"profile" env:"LAVENDERCLEAT_PROFILE" help:"File with a load profile in JSON; without one the flags below make a profile of one class."`
+	// Time at the start that is excluded from the figures.
+	WarmUp time.Duration `name:"warm-up" env:"LAVENDERCLEAT_WARM_UP" help:"Time at the start that is excluded from the figures." default:"3s"`
+	// Seed of the random number generator.
+	Seed uint64 `name:"seed" env:"LAVENDERCLEAT_SEED" help:"Seed of the random number generator." default:"1"`
+	// File with a load profile in JSON; without it, the flags below define a profile of one class.
+	Profile string `name:"profile" env:"LAVENDERCLEAT_PROFILE" help:"File with a load profile in JSON; without it, the flags below define a profile of one class."`
 	// Kind of the jobs.
 	Kind string `name:"kind" env:"LAVENDERCLEAT_KIND" help:"Kind of the jobs." default:"loft-quote"`
-	// Urgency of the jobs: high, normal or low; the kind's own when empty.
-	Urgency string `name:"urgency" env:"LAVENDERCLEAT_URGENCY" help:"Urgency of the jobs: high, normal or low; the kind's own when empty."`
-	// Fewest tasks of a job.
-	MinTasks int32 `name:"min-tasks" env:"LAVENDERCLEAT_MIN_TASKS" help:"Fewest tasks of a job." default:"1"`
-	// Most tasks of a job.
-	MaxTasks int32 `name:"max-tasks" env:"LAVENDERCLEAT_MAX_TASKS" help:"Most tasks of a job." default:"40"`
-	// Shortest run time of a task.
-	MinRun time.Duration `name:"min-run" env:"LAVENDERCLEAT_MIN_RUN" help:"Shortest run time of a task." default:"50ms"`
-	// Longest run time of a task.
-	MaxRun time.Duration `name:"max-run" env:"LAVENDERCLEAT_MAX_RUN" help:"Longest run time of a task." default:"1s"`
-	// Time from sending a job to its deadline; the kind's own when 0.
-	Deadline time.Duration `name:"deadline" env:"LAVENDERCLEAT_DEADLINE" help:"Time from sending a job to its deadline; the kind's own when 0." default:"0s"`
-	// Share of the jobs that their caller cancels, 0 to 1.
-	CancelShare float64 `name:"cancel-share" env:"LAVENDERCLEAT_CANCEL_SHARE" help:"Share of the jobs that their caller cancels, 0 to 1." default:"0"`
-	// Time after which such a job is canceled.
-	CancelAfter time.Duration `name:"cancel-after" env:"LAVENDERCLEAT_CANCEL_AFTER" help:"Time after which such a job is canceled." default:"100ms"`
-	// Reserve an identifier for every job; otherwise jobs are sent in one call.
-	Reserve bool `name:"reserve" env:"LAVENDERCLEAT_RESERVE" help:"Reserve an identifier for every job; otherwise jobs are sent in one call."`
+	// Urgency of the jobs: high, normal or low; the urgency of the kind if empty.
+	Urgency string `name:"urgency" env:"LAVENDERCLEAT_URGENCY" help:"Urgency of the jobs: high, normal or low; the urgency of the kind if empty."`
+	// Minimum number of tasks of a job.
+	MinTasks int32 `name:"min-tasks" env:"LAVENDERCLEAT_MIN_TASKS" help:"Minimum number of tasks of a job." default:"1"`
+	// Maximum number of tasks of a job.
+	MaxTasks int32 `name:"max-tasks" env:"LAVENDERCLEAT_MAX_TASKS" help:"Maximum number of tasks of a job." default:"40"`
+	// Minimum run time of a task.
+	MinRun time.Duration `name:"min-run" env:"LAVENDERCLEAT_MIN_RUN" help:"Minimum run time of a task." default:"50ms"`
+	// Maximum run time of a task.
+	MaxRun time.Duration `name:"max-run" env:"LAVENDERCLEAT_MAX_RUN" help:"Maximum run time of a task." default:"1s"`
+	// Time from sending a job to its deadline; the deadline of the kind if 0.
+	Deadline time.Duration `name:"deadline" env:"LAVENDERCLEAT_DEADLINE" help:"Time from sending a job to its deadline; the deadline of the kind if 0." default:"0s"`
+	// Share of the jobs that the caller cancels, 0 to 1.
+	CancelShare float64 `name:"cancel-share" env:"LAVENDERCLEAT_CANCEL_SHARE" help:"Share of the jobs that the caller cancels, 0 to 1." default:"0"`
+	// Time after which the caller cancels such a job.
+	CancelAfter time.Duration `name:"cancel-after" env:"LAVENDERCLEAT_CANCEL_AFTER" help:"Time after which the caller cancels such a job." default:"100ms"`
+	// Reserve an identifier for each job; otherwise jobs are sent in one call.
+	Reserve bool `name:"reserve" env:"LAVENDERCLEAT_RESERVE" help:"Reserve an identifier for each job; otherwise jobs are sent in one call."`
 	// Print the report as JSON instead of a table.
 	Json bool `name:"json" env:"LAVENDERCLEAT_JSON" help:"Print the report as JSON instead of a table."`
 }
 
-// ExperimentSettings are the settings of an experiment: entries, backend servers and
-// platform in one process, under a load in proportion to the slots.
+// ExperimentSettings are the settings of an experiment: a load test of entries, backend servers and a
+// platform in one process, with a load in proportion to the number of slots.
 type ExperimentSettings struct {
-	// Failure domains.
-	Domains int32 `name:"domains" env:"LAVENDERCLEAT_DOMAINS" help:"Failure domains." default:"3"`
-	// Entries in each failure domain.
-	Entries int32 `name:"entries" env:"LAVENDERCLEAT_ENTRIES" help:"Entries in each failure domain." default:"2"`
-	// Backend servers, spread evenly over the failure domains.
-	Workers int32 `name:"workers" env:"LAVENDERCLEAT_WORKERS" help:"Backend servers, spread evenly over the failure domains." default:"50"`
-	// Tasks a backend server runs at once.
-	Slots int32 `name:"slots" env:"LAVENDERCLEAT_SLOTS" help:"Tasks a backend server runs at once." default:"8"`
-	// Connections a backend server accepts.
-	Connections int32 `name:"connections" env:"LAVENDERCLEAT_CONNECTIONS" help:"Connections a backend server accepts." default:"64"`
-	// Offered loads, as a share of all slots; one run follows another.
-	Load []float64 `name:"load" env:"LAVENDERCLEAT_LOAD" help:"Offered loads, as a share of all slots; one run follows another." default:"0.7"`
-	// Policies of the scheduler to compare; one run follows another.
-	Policy []string `name:"policy" env:"LAVENDERCLEAT_POLICY" help:"Policies of the scheduler to compare; one run follows another." default:"default"`
-	// Fault a third into the run: none, black-hole, straggler, cancel-wave or entry-killed.
-	Fault string `name:"fault" env:"LAVENDERCLEAT_FAULT" help:"Fault a third into the run: none, black-hole, straggler, cancel-wave or entry-killed." default:"none" enum:"none,black-hole,straggler,cancel-wave,entry-killed"`
-	// Send every job to one entry instead of all in turn.
-	OneEntry bool `name:"one-entry" env:"LAVENDERCLEAT_ONE_ENTRY" help:"Send every job to one entry instead of all in turn."`
-	// Runs of each combination, with a seed of their own.
-	Runs int32 `name:"runs" env:"LAVENDERCLEAT_RUNS" help:"Runs of each combination, with a seed of their own." default:"1"`
+	// Number of failure domains.
+	Domains int32 `name:"domains" env:"LAVENDERCLEAT_DOMAINS" help:"Number of failure domains." default:"3"`
+	// Number of entries in each failure domain.
+	Entries int32 `name:"entries" env:"LAVENDERCLEAT_ENTRIES" help:"Number of entries in each failure domain." default:"2"`
+	// Number of backend servers, distributed evenly over the failure domains.
+	Workers int32 `name:"workers" env:"LAVENDERCLEAT_WORKERS" help:"Number of backend servers, distributed evenly over the failure domains." default:"50"`
+	// Number of tasks that a backend server runs at once.
+	Slots int32 `name:"slots" env:"LAVENDERCLEAT_SLOTS" help:"Number of tasks that a backend server runs at once." default:"8"`
+	// Number of connections that a backend server accepts.
+	Connections int32 `name:"connections" env:"LAVENDERCLEAT_CONNECTIONS" help:"Number of connections that a backend server accepts." default:"64"`
+	// Offered loads as a share of all slots; each load is a separate run.
+	Load []float64 `name:"load" env:"LAVENDERCLEAT_LOAD" help:"Offered loads as a share of all slots; each load is a separate run." default:"0.7"`
+	// Scheduling policies to compare; each policy is a separate run.
+	Policy []string `name:"policy" env:"LAVENDERCLEAT_POLICY" help:"Scheduling policies to compare; each policy is a separate run." default:"default"`
+	// Fault to inject after a third of the run: none, black-hole, straggler, cancel-wave or entry-killed.
+	Fault string `name:"fault" env:"LAVENDERCLEAT_FAULT" help:"Fault to inject after a third of the run: none, black-hole, straggler, cancel-wave or entry-killed." default:"none" enum:"none,black-hole,straggler,cancel-wave,entry-killed"`
+	// Send all jobs to one entry instead of to all entries in turn.
+	OneEntry bool `name:"one-entry" env:"LAVENDERCLEAT_ONE_ENTRY" help:"Send all jobs to one entry instead of to all entries in turn."`
+	// Number of runs of each combination, each with its own seed.
+	Runs int32 `name:"runs" env:"LAVENDERCLEAT_RUNS" help:"Number of runs of each combination, each with its own seed." default:"1"`
 	// Time for which jobs are sent, after the warm-up.
 	Duration time.Duration `name:"duration" env:"LAVENDERCLEAT_DURATION" help:"Time for which jobs are sent, after the warm-up." default:"15s"`
-	// Time at the start that is left out of the figures.
-	WarmUp time.Duration `name:"warm-up" env:"LAVENDERCLEAT_WARM_UP" help:"Time at the start that is left out of the figures." default:"3s"`
+	// Time at the start that is excluded from the figures.
+	WarmUp time.Duration `name:"warm-up" env:"LAVENDERCLEAT_WARM_UP" help:"Time at the start that is excluded from the figures." default:"3s"`
 	// Seed of the first run.
 	Seed uint64 `name:"seed" env:"LAVENDERCLEAT_SEED" help:"Seed of the first run." default:"1"`
-	// File with a load profile in JSON; today's mix of jobs without one.
-	Profile string `name:"profile" env:"LAVENDERCLEAT_PROFILE" help:"File with a load profile in JSON; today's mix of jobs without one."`
+	// File with a load profile in JSON; the built-in profile if empty.
+	Profile string `name:"profile" env:"LAVENDERCLEAT_PROFILE" help:"File with a load profile in JSON; the built-in profile if empty."`
 	// Print one report per line as JSON instead of a table.
 	Json bool `name:"json" env:"LAVENDERCLEAT_JSON" help:"Print one report per line as JSON instead of a table."`
-	// Run the policies of each load at the same time, each in a system of its own.
-	SideBySide bool `name:"side-by-side" env:"LAVENDERCLEAT_SIDE_BY_SIDE" help:"Run the policies of each load at the same time, each in a system of its own."`
-	// Time from sending a job to its deadline; the profile's when 0.
-	Deadline time.Duration `name:"deadline" env:"LAVENDERCLEAT_DEADLINE" help:"Time from sending a job to its deadline; the profile's when 0." default:"0s"`
+	// Run the policies of each load at the same time, each in its own system.
+	SideBySide bool `name:"side-by-side" env:"LAVENDERCLEAT_SIDE_BY_SIDE" help:"Run the policies of each load at the same time, each in its own system."`
+	// Time from sending a job to its deadline; the deadline of the profile if 0.
+	Deadline time.Duration `name:"deadline" env:"LAVENDERCLEAT_DEADLINE" help:"Time from sending a job to its deadline; the deadline of the profile if 0." default:"0s"`
 }
 
-// NodeSettings are the settings of the daemon on the users' platform. What the platform
-// decides stands in its own settings file.
+// NodeSettings are the settings of the daemon on the users' platform. The platform's own settings file
+// holds the settings that the platform decides.
 type NodeSettings struct {
 	// Path of the platform's settings file.
 	Settings string `name:"settings" env:"LAVENDERCLEAT_SETTINGS" help:"Path of the platform's settings file." default:"/etc/lavendercleat/settings.toml"`
-	// Time that each order lets a worker's runs go on; the platform's own bound is not exceeded.
-	Lease time.Duration `name:"lease" env:"LAVENDERCLEAT_LEASE" help:"Time that each order lets a worker's runs go on; the platform's own bound is not exceeded." default:"800ms"`
-	// Time for which the daemon's entry in the store outlives its last renewal.
-	EntryTtl time.Duration `name:"entry-ttl" env:"LAVENDERCLEAT_ENTRY_TTL" help:"Time for which the daemon's entry in the store outlives its last renewal." default:"6s"`
-	// Time between the request to stop and the end of accepting, for the balancer.
-	StopDelay time.Duration `name:"stop-delay" env:"LAVENDERCLEAT_STOP_DELAY" help:"Time between the request to stop and the end of accepting, for the balancer." default:"2500ms"`
-	// Longest time a planned stop waits for jobs in flight after that.
-	StopTimeout time.Duration `name:"stop-timeout" env:"LAVENDERCLEAT_STOP_TIMEOUT" help:"Longest time a planned stop waits for jobs in flight after that." default:"2500ms"`
-	// Address (IP:port) to listen on for peers when it differs from the one peers use.
-	PeerListen netip.AddrPort `name:"peer-listen" env:"LAVENDERCLEAT_PEER_LISTEN" help:"Address (IP:port) to listen on for peers when it differs from the one peers use." optional:""`
+	// Time for which each order to a worker lets the worker's runs continue; at most the platform's own limit.
+	Lease time.Duration `name:"lease" env:"LAVENDERCLEAT_LEASE" help:"Time for which each order to a worker lets the worker's runs continue; at most the platform's own limit." default:"800ms"`
+	// Time to live of the daemon's entry in the store after its last renewal.
+	EntryTtl time.Duration `name:"entry-ttl" env:"LAVENDERCLEAT_ENTRY_TTL" help:"Time to live of the daemon's entry in the store after its last renewal." default:"6s"`
+	// Time from the request to stop until the daemon accepts no more requests, for the load balancer.
+	StopDelay time.Duration `name:"stop-delay" env:"LAVENDERCLEAT_STOP_DELAY" help:"Time from the request to stop until the daemon accepts no more requests, for the load balancer." default:"2500ms"`
+	// Maximum time for which a planned stop then waits for jobs in flight.
+	StopTimeout time.Duration `name:"stop-timeout" env:"LAVENDERCLEAT_STOP_TIMEOUT" help:"Maximum time for which a planned stop then waits for jobs in flight." default:"2500ms"`
+	// Address (IP:port) to listen on for peers, if it differs from the address that peers use.
+	PeerListen netip.AddrPort `name:"peer-listen" env:"LAVENDERCLEAT_PEER_LISTEN" help:"Address (IP:port) to listen on for peers, if it differs from the address that peers use." optional:""`
 	// Port on which the address for callers also serves /metrics; 0 for none.
 	MetricsPort uint16 `name:"metrics-port" env:"LAVENDERCLEAT_METRICS_PORT" help:"Port on which the address for callers also serves /metrics; 0 for none." default:"0"`
-	// Garbage collector's target: growth of the heap in percent between two collections.
-	GcPercent int `name:"gc-percent" env:"LAVENDERCLEAT_GC_PERCENT" help:"Garbage collector's target: growth of the heap in percent between two collections." default:"60"`
+	// Target of the garbage collector: growth of the heap between two collections in percent.
+	GcPercent int `name:"gc-percent" env:"LAVENDERCLEAT_GC_PERCENT" help:"Target of the garbage collector: growth of the heap between two collections in percent." default:"60"`
 }
