--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -18,7 +18,7 @@
 const statusTimeout = 2 * time.Second
 
 // fleet asks all entries about themselves.
-type fleet struct {
+type statusCollector struct {
 	members *membership
 	client  *peer.Client
 	metrics *Metrics
@@ -29,7 +29,7 @@
 
 // ask returns the status of every entry that answers in time, this one included,
 // and the addresses of the others.
-func (f *fleet) ask(ctx context.Context) (replies []*schema.StatusReply, unreachable []string) {
+func (f *statusCollector) collect(ctx context.Context) (replies []*schema.StatusReply, unreachable []string) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	replies = append(replies, f.self())
@@ -37,7 +37,7 @@
 	var wg sync.WaitGroup
 	for _, a := range f.members.candidates() {
 		wg.Go(func() {
-			reply := f.askOne(ctx, a)
+			reply := f.queryPeer(ctx, a)
 			mu.Lock()
 			defer mu.Unlock()
 			if reply == nil {
@@ -56,8 +56,8 @@
 }
 
 // askOne returns a peer's status, nil when there is no answer.
-func (f *fleet) askOne(ctx context.Context, a netip.AddrPort) *schema.StatusReply {
-	f.metrics.message("status")
+func (f *statusCollector) queryPeer(ctx context.Context, a netip.AddrPort) *schema.StatusReply {
+	f.metrics.countMessage("status")
 	reply, failure := f.client.Call(ctx, a, &schema.Request{Body: &schema.Request_Status{Status: &schema.StatusRequest{}}})
 	if failure != nil {
 		return nil
@@ -66,8 +66,8 @@
 }
 
 // status describes all entries.
-func (f *fleet) status(ctx context.Context) schema.FleetStatus {
-	replies, unreachable := f.ask(ctx)
+func (f *statusCollector) fleetStatus(ctx context.Context) schema.FleetStatus {
+	replies, unreachable := f.collect(ctx)
 	out := schema.FleetStatus{PlatformRevision: f.syncer.platformRevision(), Unreachable: unreachable}
 	for _, r := range replies {
 		out.Revision = max(out.Revision, r.GetConfigRevision())
@@ -82,8 +82,8 @@
 }
 
 // load adds up what runs in the fleet.
-func (f *fleet) load(ctx context.Context) config.FleetLoad {
-	replies, unreachable := f.ask(ctx)
+func (f *statusCollector) fleetLoad(ctx context.Context) config.FleetLoad {
+	replies, unreachable := f.collect(ctx)
 	l := config.FleetLoad{RunningByWorker: make(map[string]int), TeamRates: make(map[string]int), Unreachable: unreachable}
 	for _, r := range replies {
 		l.Running += int(r.GetRunningTasks())
@@ -101,14 +101,14 @@
 // candidates returns the addresses of all known entries but this one.
 func (m *membership) candidates() []netip.AddrPort {
 	var all []netip.AddrPort
-	m.with(func(v *member.View) { all = v.Candidates() })
+	m.withView(func(v *member.View) { all = v.Candidates() })
 	return all
 }
 
 // newestConfig returns the highest revision that a live peer has in force.
-func (m *membership) newestConfig() uint64 {
+func (m *membership) newestConfigRevision() uint64 {
 	newest := uint64(0)
-	m.with(func(v *member.View) {
+	m.withView(func(v *member.View) {
 		for _, p := range v.Live("") {
 			newest = max(newest, p.ConfigRevision)
 		}
--- a/internal/entry/latehandler.go
+++ b/internal/entry/latehandler.go
@@ -9,18 +9,18 @@
 
 // lateHandler holds peers' requests until the real handler is there: the entry's
 // parts need the address of the socket that already listens.
-type lateHandler struct {
+type deferredHandler struct {
 	ready   chan struct{}
 	handler peer.Handler
 }
 
-func (l *lateHandler) set(h peer.Handler) {
+func (l *deferredHandler) set(h peer.Handler) {
 	l.handler = h
 	close(l.ready)
 }
 
 // ServePeer implements peer.Handler.
-func (l *lateHandler) ServePeer(ctx context.Context, r *schema.Request) *schema.Reply {
+func (l *deferredHandler) ServePeer(ctx context.Context, r *schema.Request) *schema.Reply {
 	select {
 	case <-l.ready:
 		return l.handler.ServePeer(ctx, r)
--- a/internal/entry/loans.go
+++ b/internal/entry/loans.go
@@ -28,9 +28,9 @@
 
 // update tells the scheduler who the live peers are. A stopping peer's share goes to
 // the others, so nothing is borrowed from it any more.
-func (l *loans) update() {
+func (l *loans) updatePeers() {
 	var list []sched.Peer
-	l.members.with(func(v *member.View) {
+	l.members.withView(func(v *member.View) {
 		for _, p := range v.Live("") {
 			if !p.Stopping {
 				list = append(list, schedPeer(p.Address, p.Incarnation, p.Domain))
@@ -45,56 +45,56 @@
 }
 
 // heard takes in how many slots a peer could lend.
-func (l *loans) heard(h *schema.Heartbeat) {
+func (l *loans) handleHeartbeat(h *schema.Heartbeat) {
 	p := sched.Peer{Address: h.GetAddress(), Incarnation: h.GetIncarnation(), Domain: h.GetDomain()}
-	l.setFree(p, h.GetFreeSlots(), h.GetWantedSlots())
+	l.setPeerFree(p, h.GetFreeSlots(), h.GetWantedSlots())
 }
 
-func (l *loans) setFree(p sched.Peer, free, wanted uint32) {
+func (l *loans) setPeerFree(p sched.Peer, free, wanted uint32) {
 	l.dispatcher.step(func(now time.Duration) { l.dispatcher.sched.SetPeerFree(now, p, int(free), int(wanted)) })
 }
 
 // hint lets a peer that lacks slots know of free ones, by an early heartbeat.
-func (l *loans) hint(h sched.FreeSlotsHint) {
+func (l *loans) sendHint(h sched.FreeSlotsHint) {
 	to, err := netip.ParseAddrPort(h.Peer.Address)
 	if err != nil {
 		return
 	}
-	l.metrics.message("hint")
-	l.members.exchange(context.Background(), to, l.members.heartbeat())
+	l.metrics.countMessage("hint")
+	l.members.exchangeHeartbeat(context.Background(), to, l.members.heartbeat())
 }
 
 // borrow asks a peer for slots and hands the answer to the scheduler.
 func (l *loans) borrow(b sched.Borrow) {
-	l.metrics.message("borrow")
-	reply := l.call(b.Peer, &schema.Request{Body: &schema.Request_Borrow{Borrow: &schema.Borrow{
+	l.metrics.countMessage("borrow")
+	reply := l.callPeer(b.Peer, &schema.Request{Body: &schema.Request_Borrow{Borrow: &schema.Borrow{
 		Borrower:    l.self.Address.String(),
 		Incarnation: l.self.Incarnation,
 		Slots:       uint32(b.Slots),
 		TermMs:      uint32(b.Term.Milliseconds()),
 		Needs:       &schema.Resources{Cpus: b.Needs.CPUs, MemoryMb: b.Needs.MemoryMB, Accelerators: b.Needs.Accelerators},
-		Extend:      loanNumbers(b.Extend),
+		Extend:      loanIDsToProto(b.Extend),
 	}}})
-	answer := loanAnswer(reply)
+	answer := lendReplyFromProto(reply)
 	l.metrics.count("borrows", "result", borrowResult(answer))
 	l.dispatcher.step(func(now time.Duration) { l.dispatcher.sched.HandleLendReply(now, b, answer) })
 }
 
 // giveBack returns idle slots to a peer and learns what it has free.
-func (l *loans) giveBack(g sched.ReturnSlots) {
-	l.metrics.message("give_back")
-	back := &schema.GiveBack{Borrower: l.self.Address.String(), Incarnation: l.self.Incarnation}
+func (l *loans) returnSlots(g sched.ReturnSlots) {
+	l.metrics.countMessage("give_back")
+	msg := &schema.GiveBack{Borrower: l.self.Address.String(), Incarnation: l.self.Incarnation}
 	for _, part := range g.Loans {
-		back.Loans = append(back.Loans, &schema.Loan{Loan: uint64(part.ID), Slots: slotMessages(part.Slots)})
+		msg.Loans = append(msg.Loans, &schema.Loan{Loan: uint64(part.ID), Slots: workerSlotsToProto(part.Slots)})
 	}
-	reply := l.call(g.Peer, &schema.Request{Body: &schema.Request_GiveBack{GiveBack: back}})
+	reply := l.callPeer(g.Peer, &schema.Request{Body: &schema.Request_GiveBack{GiveBack: msg}})
 	if reply != nil {
-		l.setFree(g.Peer, reply.GetFreeSlots(), 0)
+		l.setPeerFree(g.Peer, reply.GetFreeSlots(), 0)
 	}
 }
 
 // call sends a request to a peer; nil when there was no answer.
-func (l *loans) call(to sched.Peer, r *schema.Request) *schema.Loan {
+func (l *loans) callPeer(to sched.Peer, r *schema.Request) *schema.Loan {
 	address, err := netip.ParseAddrPort(to.Address)
 	if err != nil {
 		return nil
@@ -125,14 +125,14 @@
 	return borrowGotSlots
 }
 
-func loanAnswer(m *schema.Loan) *sched.LendReply {
+func lendReplyFromProto(m *schema.Loan) *sched.LendReply {
 	if m == nil {
 		return nil
 	}
-	return &sched.LendReply{Loan: loanFrom(m), Extended: loanIDs(m.GetExtended()), Recalled: loanIDs(m.GetRecalled()), Free: int(m.GetFreeSlots())}
+	return &sched.LendReply{Loan: loanFromProto(m), Extended: loanIDsFromProto(m.GetExtended()), Recalled: loanIDsFromProto(m.GetRecalled()), Free: int(m.GetFreeSlots())}
 }
 
-func loanFrom(m *schema.Loan) slot.Loan {
+func loanFromProto(m *schema.Loan) slot.Loan {
 	l := slot.Loan{ID: slot.LoanID(m.GetLoan())}
 	for _, s := range m.GetSlots() {
 		l.Slots = append(l.Slots, slot.WorkerSlots{Worker: s.GetWorker(), Slots: int(s.GetSlots())})
@@ -140,7 +140,7 @@
 	return l
 }
 
-func slotMessages(list []slot.WorkerSlots) []*schema.WorkerSlots {
+func workerSlotsToProto(list []slot.WorkerSlots) []*schema.WorkerSlots {
 	var out []*schema.WorkerSlots
 	for _, s := range list {
 		out = append(out, &schema.WorkerSlots{Worker: s.Worker, Slots: uint32(s.Slots)})
@@ -148,7 +148,7 @@
 	return out
 }
 
-func loanNumbers(ids []slot.LoanID) []uint64 {
+func loanIDsToProto(ids []slot.LoanID) []uint64 {
 	var out []uint64
 	for _, id := range ids {
 		out = append(out, uint64(id))
@@ -156,7 +156,7 @@
 	return out
 }
 
-func loanIDs(numbers []uint64) []slot.LoanID {
+func loanIDsFromProto(numbers []uint64) []slot.LoanID {
 	var out []slot.LoanID
 	for _, n := range numbers {
 		out = append(out, slot.LoanID(n))
@@ -165,31 +165,31 @@
 }
 
 // lend answers a peer that asks for slots.
-func (l *loans) lend(m *schema.Borrow) *schema.Loan {
+func (l *loans) handleBorrow(m *schema.Borrow) *schema.Loan {
 	r := sched.LendRequest{
 		Borrower: slot.Borrower{Address: m.GetBorrower(), Incarnation: m.GetIncarnation()},
 		Slots:    int(m.GetSlots()),
 		Term:     time.Duration(m.GetTermMs()) * time.Millisecond,
-		Needs:    resources(m.GetNeeds()),
-		Extend:   loanIDs(m.GetExtend()),
+		Needs:    resourcesFromProto(m.GetNeeds()),
+		Extend:   loanIDsFromProto(m.GetExtend()),
 	}
 	var answer sched.LendReply
 	l.dispatcher.step(func(now time.Duration) { answer = l.dispatcher.sched.Lend(now, r) })
 	return &schema.Loan{
 		Loan:      uint64(answer.ID),
-		Slots:     slotMessages(answer.Slots),
+		Slots:     workerSlotsToProto(answer.Slots),
 		FreeSlots: uint32(answer.Free),
-		Extended:  loanNumbers(answer.Extended),
-		Recalled:  loanNumbers(answer.Recalled),
+		Extended:  loanIDsToProto(answer.Extended),
+		Recalled:  loanIDsToProto(answer.Recalled),
 	}
 }
 
 // takeBack takes back slots that a peer returns.
-func (l *loans) takeBack(m *schema.GiveBack) *schema.Loan {
+func (l *loans) handleReturn(m *schema.GiveBack) *schema.Loan {
 	borrower := slot.Borrower{Address: m.GetBorrower(), Incarnation: m.GetIncarnation()}
 	var parts []slot.Loan
 	for _, part := range m.GetLoans() {
-		parts = append(parts, loanFrom(part))
+		parts = append(parts, loanFromProto(part))
 	}
 	free := 0
 	l.dispatcher.step(func(now time.Duration) {
--- a/internal/entry/membership.go
+++ b/internal/entry/membership.go
@@ -16,7 +16,7 @@
 )
 
 // refreshPause is the pause before the peers are asked again.
-const refreshPause = 20 * time.Millisecond
+const refreshRetryPause = 20 * time.Millisecond
 
 // membership exchanges heartbeats with the peers and keeps the view of them.
 type membership struct {
@@ -32,22 +32,22 @@
 	// onHeartbeat is told of each peer's heartbeat.
 	onHeartbeat func(*schema.Heartbeat)
 	// fill adds what this entry has to tell to an outgoing heartbeat.
-	fill func(*schema.Heartbeat)
+	fillHeartbeat func(*schema.Heartbeat)
 	// settle returns the time after an identifier's minting after which its owner
 	// neither starts its job nor tells an answer of it.
-	settle func() time.Duration
+	identifierLifetime func() time.Duration
 
-	mu   sync.Mutex
-	view *member.View
-	pace *member.HeartbeatSchedule
+	mu       sync.Mutex
+	view     *member.View
+	schedule *member.HeartbeatSchedule
 	// handedBack is set once this entry, which is stopping, needs its slots no more.
-	handedBack bool
+	slotsReleased bool
 	// lastBeat is the time of the latest beat, by which a pause is noticed.
-	lastBeat time.Duration
+	lastRound time.Duration
 }
 
 // with runs fn on the view under its lock.
-func (m *membership) with(fn func(v *member.View)) {
+func (m *membership) withView(fn func(v *member.View)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	fn(m.view)
@@ -61,7 +61,7 @@
 }
 
 // known tells whether an address belongs to an entry.
-func (m *membership) known(a netip.AddrPort) bool {
+func (m *membership) isEntry(a netip.AddrPort) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Known(a)
@@ -86,7 +86,7 @@
 			c[a] = vm.GetDomain()
 		}
 	}
-	m.with(func(v *member.View) { v.SetCandidates(c) })
+	m.withView(func(v *member.View) { v.SetCandidates(c) })
 }
 
 // heartbeat returns what this entry tells its peers.
@@ -97,13 +97,13 @@
 		Domain:      m.domain,
 	}
 	m.mu.Lock()
-	h.Stopping = m.handedBack
+	h.Stopping = m.slotsReleased
 	m.view.Successors(m.clock.Now(), func(stopped, successor member.Process, keep time.Duration) {
 		h.Successors = append(h.Successors, successorMessage(stopped, successor, keep))
 	})
 	m.mu.Unlock()
-	m.fill(h)
-	h.SettleMs = m.settle().Milliseconds()
+	m.fillHeartbeat(h)
+	h.SettleMs = m.identifierLifetime().Milliseconds()
 	h.ClockMs = m.clock.Now().Milliseconds()
 	return h
 }
@@ -119,7 +119,7 @@
 }
 
 // take takes in a peer's heartbeat.
-func (m *membership) take(h *schema.Heartbeat) {
+func (m *membership) handleHeartbeat(h *schema.Heartbeat) {
 	address, err := netip.ParseAddrPort(h.GetAddress())
 	if err != nil {
 		return
@@ -138,9 +138,9 @@
 	m.mu.Lock()
 	restarted := m.view.Peer(address) == nil || m.view.Peer(address).Incarnation != p.Incarnation
 	changed := m.view.HandleHeartbeat(m.clock.Now(), p)
-	m.pace.HandleExchange(m.clock.Now(), address)
+	m.schedule.HandleExchange(m.clock.Now(), address)
 	for _, s := range h.GetSuccessors() {
-		m.takeSuccessor(s)
+		m.handleSuccessor(s)
 	}
 	m.mu.Unlock()
 	if restarted {
@@ -153,7 +153,7 @@
 	m.onHeartbeat(h)
 }
 
-func (m *membership) takeSuccessor(s *schema.Successor) {
+func (m *membership) handleSuccessor(s *schema.Successor) {
 	stopped, err1 := netip.ParseAddrPort(s.GetAddress())
 	successor, err2 := netip.ParseAddrPort(s.GetSuccessor())
 	if err1 != nil || err2 != nil {
@@ -172,7 +172,7 @@
 	t := time.NewTicker(m.interval)
 	defer t.Stop()
 	for {
-		m.beat(ctx, m.due)
+		m.heartbeatRound(ctx, m.heartbeatDue)
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -182,80 +182,80 @@
 }
 
 // due tells whether a heartbeat is due; called under the lock.
-func (m *membership) due(a netip.AddrPort) bool {
-	return m.pace.Due(m.clock.Now(), a, m.view.Domain(a), m.view.Peer(a) != nil)
+func (m *membership) heartbeatDue(a netip.AddrPort) bool {
+	return m.schedule.Due(m.clock.Now(), a, m.view.Domain(a), m.view.Peer(a) != nil)
 }
 
 // beat drops silent peers and sends one heartbeat to every candidate that is wanted.
-func (m *membership) beat(ctx context.Context, wanted func(netip.AddrPort) bool) {
+func (m *membership) heartbeatRound(ctx context.Context, include func(netip.AddrPort) bool) {
 	changed := false
-	m.with(func(v *member.View) {
+	m.withView(func(v *member.View) {
 		now := m.clock.Now()
-		if late := now - m.lastBeat - m.interval; m.lastBeat != 0 && late > clock.PauseThreshold {
+		if late := now - m.lastRound - m.interval; m.lastRound != 0 && late > clock.PauseThreshold {
 			v.HandlePause(now, late)
 		}
-		m.lastBeat = now
+		m.lastRound = now
 		changed = v.Tick(now)
 	})
 	if changed {
 		m.log.WithField("event", "peer_changed").Warn("a peer went silent")
 		m.onChange()
 	}
-	m.send(ctx, wanted)
+	m.sendHeartbeats(ctx, include)
 }
 
 // send sends one heartbeat to every candidate that is wanted; to all for nil, when
 // there is news that must not wait. The returned group ends when each has answered or
 // did not in time.
-func (m *membership) send(ctx context.Context, wanted func(netip.AddrPort) bool) *sync.WaitGroup {
+func (m *membership) sendHeartbeats(ctx context.Context, include func(netip.AddrPort) bool) *sync.WaitGroup {
 	var candidates []netip.AddrPort
-	m.with(func(v *member.View) {
+	m.withView(func(v *member.View) {
 		candidates = v.Candidates()
-		m.pace.RemoveUnlisted(candidates)
-		if wanted != nil {
-			candidates = slices.DeleteFunc(candidates, func(a netip.AddrPort) bool { return !wanted(a) })
+		m.schedule.RemoveUnlisted(candidates)
+		if include != nil {
+			candidates = slices.DeleteFunc(candidates, func(a netip.AddrPort) bool { return !include(a) })
 		}
 	})
-	var sent sync.WaitGroup
+	var pending sync.WaitGroup
 	if len(candidates) == 0 {
-		return &sent
+		return &pending
 	}
 	h := m.heartbeat()
 	for _, a := range candidates {
-		sent.Go(func() { m.exchange(ctx, a, h) })
+		pending.Go(func() { m.exchangeHeartbeat(ctx, a, h) })
 	}
-	return &sent
+	return &pending
 }
 
 // announce sends a heartbeat to every candidate and waits for their answers, so that
 // those that can be reached know what it tells.
-func (m *membership) announce(ctx context.Context) { m.send(ctx, nil).Wait() }
+func (m *membership) announce(ctx context.Context) { m.sendHeartbeats(ctx, nil).Wait() }
 
 // refresh asks the peers until each live one has answered, or for a time at most: the
 // first call after a pause often fails, on a connection that timed out meanwhile.
-func (m *membership) refresh(ctx context.Context, limit time.Duration) {
+func (m *membership) refreshView(ctx context.Context, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	begin := m.clock.Now()
+	start := m.clock.Now()
 	for {
 		m.announce(ctx)
-		fresh := false
-		m.with(func(v *member.View) { fresh = v.AllHeardSince(begin) })
-		if fresh || !clock.Sleep(ctx, refreshPause) {
+		allHeard := false
+		m.withView(func(v *member.View) { allHeard = v.AllHeardSince(start) })
+		if allHeard || !clock.Sleep(ctx, refreshRetryPause) {
 			return
 		}
 	}
 }
 
 // handBack tells the peers that this entry's slots are theirs.
-func (m *membership) handBack(ctx context.Context) {
-	m.with(func(*member.View) { m.handedBack = true })
+func (m *membership) releaseSlots(ctx context.Context) {
+	m.withView(func(*member.View) { m.slotsReleased = true })
 	m.announce(ctx)
 }
 
 // stoppedGracefully tells the peers who keeps the answers of this process.
-func (m *membership) stoppedGracefully(ctx context.Context, successor member.Process) {
-	m.with(func(v *member.View) { v.SetSuccessor(m.clock.Now(), m.self, successor, m.settle()) })
+func (m *membership) announceSuccessor(ctx context.Context, successor member.Process) {
+	m.withView(func(v *member.View) { v.SetSuccessor(m.clock.Now(), m.self, successor, m.identifierLifetime()) })
 	m.announce(ctx)
 }
 
@@ -286,16 +286,16 @@
 }
 
 // exchange sends a heartbeat and takes in the one that answers it.
-func (m *membership) exchange(ctx context.Context, to netip.AddrPort, h *schema.Heartbeat) {
+func (m *membership) exchangeHeartbeat(ctx context.Context, to netip.AddrPort, h *schema.Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, 2*m.interval)
 	defer cancel()
-	m.metrics.message("heartbeat")
+	m.metrics.countMessage("heartbeat")
 	reply, failure := m.client.Call(ctx, to, &schema.Request{Body: &schema.Request_Heartbeat{Heartbeat: h}})
 	if failure != nil {
-		m.with(func(*member.View) { m.pace.HandleFailure(m.clock.Now(), to) })
+		m.withView(func(*member.View) { m.schedule.HandleFailure(m.clock.Now(), to) })
 		return
 	}
-	if back := reply.GetHeartbeat(); back != nil {
-		m.take(back)
+	if answer := reply.GetHeartbeat(); answer != nil {
+		m.handleHeartbeat(answer)
 	}
 }
--- a/internal/entry/monitor.go
+++ b/internal/entry/monitor.go
@@ -7,13 +7,13 @@
 )
 
 // monitor serves /metrics, /healthz and /readyz.
-func (e *Entry) monitor() http.Handler {
+func (e *Entry) monitoringHandler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	g := gin.New()
 	g.GET("/metrics", func(c *gin.Context) { e.metrics.Write(c.Writer) })
 	g.GET("/healthz", func(c *gin.Context) { c.String(http.StatusOK, "ok\n") })
 	g.GET("/readyz", func(c *gin.Context) {
-		if f := e.notReady(); f != nil {
+		if f := e.checkReady(); f != nil {
 			c.String(http.StatusServiceUnavailable, f.Message+"\n")
 			return
 		}
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -17,18 +17,18 @@
 const (
 	// maxOperatorBody bounds a plan or a confirmation: a document of the largest size
 	// in JSON.
-	maxOperatorBody = 8 << 20
+	maxOperatorBodyBytes = 8 << 20
 	// operatorKey is the key of the operator's name in gin's context.
-	operatorKey = "operator"
+	operatorContextKey = "operator"
 )
 
 // operators is the operator interface.
-type operators struct {
+type operatorAPI struct {
 	// names holds the operators' names by the hash of their token.
-	names   map[string]string
-	state   *state
-	planner *planner
-	fleet   *fleet
+	namesByTokenHash map[string]string
+	state            *state
+	planner          *planner
+	statuses         *statusCollector
 }
 
 // operatorNames returns the operators' names by token hash; the setting was checked.
@@ -42,7 +42,7 @@
 }
 
 // handler returns the HTTP handler.
-func (o *operators) handler() http.Handler {
+func (o *operatorAPI) handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	g := gin.New()
 	g.Use(o.authenticate)
@@ -50,15 +50,15 @@
 	g.POST("/v1/confirmations", o.confirm)
 	g.GET("/v1/status", o.status)
 	g.GET("/v1/history", o.history)
-	g.GET("/v1/config", o.export)
+	g.GET("/v1/config", o.exportConfig)
 	return g
 }
 
 // authenticate finds the operator by the bearer token.
-func (o *operators) authenticate(c *gin.Context) {
+func (o *operatorAPI) authenticate(c *gin.Context) {
 	token, ok := strings.CutPrefix(c.GetHeader("Authorization"), "Bearer ")
-	if name, known := o.names[config.HashToken(token)]; ok && known {
-		c.Set(operatorKey, name)
+	if name, known := o.namesByTokenHash[config.HashToken(token)]; ok && known {
+		c.Set(operatorContextKey, name)
 		return
 	}
 	c.AbortWithStatusJSON(http.StatusUnauthorized, schema.Outcome{
@@ -67,47 +67,47 @@
 	})
 }
 
-func (o *operators) plan(c *gin.Context) {
+func (o *operatorAPI) plan(c *gin.Context) {
 	var i schema.Intent
-	if !readOperator(c, &i) {
+	if !readOperatorRequest(c, &i) {
 		return
 	}
-	plan, refusal := o.planner.plan(c.Request.Context(), c.GetString(operatorKey), i)
+	plan, refusal := o.planner.plan(c.Request.Context(), c.GetString(operatorContextKey), i)
 	if refusal != nil {
-		sendOutcome(c, refused(refusal))
+		writeOutcome(c, refusedOutcome(refusal))
 		return
 	}
 	c.JSON(http.StatusOK, plan)
 }
 
-func (o *operators) confirm(c *gin.Context) {
+func (o *operatorAPI) confirm(c *gin.Context) {
 	var plan schema.Confirmation
-	if readOperator(c, &plan) {
-		sendOutcome(c, o.planner.confirm(c.Request.Context(), c.GetString(operatorKey), plan))
+	if readOperatorRequest(c, &plan) {
+		writeOutcome(c, o.planner.confirm(c.Request.Context(), c.GetString(operatorContextKey), plan))
 	}
 }
 
 // readOperator reads a request of an operator.
-func readOperator(c *gin.Context, into any) bool {
-	dec := json.NewDecoder(http.MaxBytesReader(c.Writer, c.Request.Body, maxOperatorBody))
+func readOperatorRequest(c *gin.Context, into any) bool {
+	dec := json.NewDecoder(http.MaxBytesReader(c.Writer, c.Request.Body, maxOperatorBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
-		sendOutcome(c, refused(&config.Refusal{Reason: config.BadPlan, Message: fmt.Sprintf("the body can't be read: %v", err)}))
+		writeOutcome(c, refusedOutcome(&config.Refusal{Reason: config.BadPlan, Message: fmt.Sprintf("the body can't be read: %v", err)}))
 		return false
 	}
 	return true
 }
 
-func (o *operators) status(c *gin.Context) {
-	c.JSON(http.StatusOK, o.fleet.status(c.Request.Context()))
+func (o *operatorAPI) status(c *gin.Context) {
+	c.JSON(http.StatusOK, o.statuses.fleetStatus(c.Request.Context()))
 }
 
-func (o *operators) history(c *gin.Context) {
+func (o *operatorAPI) history(c *gin.Context) {
 	c.JSON(http.StatusOK, config.HistoryOf(o.state.config().Document()))
 }
 
 // export sends the document in force, which init accepts.
-func (o *operators) export(c *gin.Context) {
+func (o *operatorAPI) exportConfig(c *gin.Context) {
 	b, err := protojson.MarshalOptions{Multiline: true, UseProtoNames: true}.Marshal(o.state.config().Document())
 	if err != nil {
 		_ = c.AbortWithError(http.StatusInternalServerError, err)
@@ -117,7 +117,7 @@
 }
 
 // outcomeStatuses gives the HTTP status of the reasons why a plan is not applied.
-var outcomeStatuses = map[config.Reason]int{
+var refusalStatuses = map[config.Reason]int{
 	config.BadIntent:           http.StatusBadRequest,
 	config.BadPlan:             http.StatusBadRequest,
 	config.BaseRevisionChanged: http.StatusConflict,
@@ -128,18 +128,18 @@
 	config.PlatformUnavailable: http.StatusServiceUnavailable,
 }
 
-func sendOutcome(c *gin.Context, out schema.Outcome) {
+func writeOutcome(c *gin.Context, out schema.Outcome) {
 	status := http.StatusOK
 	switch out.Outcome {
 	case config.Refused:
-		status = outcomeStatuses[config.Reason(out.Reason)]
+		status = refusalStatuses[config.Reason(out.Reason)]
 	case config.OutcomeUnknown:
 		status = http.StatusGatewayTimeout
 	}
 	c.JSON(status, out)
 }
 
-func refused(r *config.Refusal) schema.Outcome {
+func refusedOutcome(r *config.Refusal) schema.Outcome {
 	out := schema.Outcome{Outcome: config.Refused, Reason: string(r.Reason), Message: r.Message, Moved: r.AppliedSince}
 	if r.Reason == config.PlatformUnavailable || r.Reason == config.EntryBehind {
 		out.RetryAfterMs = operatorRetryAfter.Milliseconds()
@@ -147,7 +147,7 @@
 	return out
 }
 
-func applied(rec *schema.AppliedPlan, earlier bool) schema.Outcome {
+func appliedOutcome(rec *schema.AppliedPlan, earlier bool) schema.Outcome {
 	out := schema.Outcome{
 		Outcome: config.Applied, Revision: rec.GetRevision(), Earlier: earlier,
 		Message: fmt.Sprintf("applied as revision %d", rec.GetRevision()),
@@ -158,7 +158,7 @@
 	return out
 }
 
-func unknown() schema.Outcome {
+func unknownOutcome() schema.Outcome {
 	return schema.Outcome{
 		Outcome: config.OutcomeUnknown, Reason: string(config.PlatformUnavailable),
 		Message: "a write was sent and the platform's service gave no answer: the plan may have been applied, or may yet be. " +
@@ -168,17 +168,17 @@
 }
 
 // operatorInterface puts the operator interface together.
-func (e *Entry) operatorInterface() *operators {
-	f := &fleet{members: e.members, client: e.client, metrics: e.metrics, syncer: e.syncer, self: e.Status}
-	return &operators{
-		names: operatorNames(e.settings.Operators),
-		state: e.state,
-		fleet: f,
+func (e *Entry) newOperatorAPI() *operatorAPI {
+	f := &statusCollector{members: e.members, client: e.peerClient, metrics: e.metrics, syncer: e.syncer, self: e.Status}
+	return &operatorAPI{
+		namesByTokenHash: operatorNames(e.settings.Operators),
+		state:            e.state,
+		statuses:         f,
 		planner: &planner{
 			state: e.state, platform: e.platform, syncer: e.syncer, log: e.log, metrics: e.metrics,
-			newestPeer: e.members.newestConfig,
-			load:       f.load,
-			announce:   func() { go e.members.beat(context.Background(), nil) },
+			newestPeerRevision: e.members.newestConfigRevision,
+			fleetLoad:          f.fleetLoad,
+			announce:           func() { go e.members.heartbeatRound(context.Background(), nil) },
 		},
 	}
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -7,7 +7,7 @@
 )
 
 // peers answers the requests of other entries.
-type peers struct {
+type peerAPI struct {
 	router   *router
 	members  *membership
 	syncer   *syncer
@@ -17,21 +17,21 @@
 }
 
 // ServePeer implements peer.Handler.
-func (p *peers) ServePeer(ctx context.Context, r *schema.Request) *schema.Reply {
+func (p *peerAPI) ServePeer(ctx context.Context, r *schema.Request) *schema.Reply {
 	switch b := r.GetBody().(type) {
 	case *schema.Request_Forward:
-		return &schema.Reply{Forward: p.forward(ctx, b.Forward)}
+		return &schema.Reply{Forward: p.serveForwarded(ctx, b.Forward)}
 	case *schema.Request_Heartbeat:
-		p.members.take(b.Heartbeat)
+		p.members.handleHeartbeat(b.Heartbeat)
 		return &schema.Reply{Heartbeat: p.members.heartbeat()}
 	case *schema.Request_Borrow:
-		return &schema.Reply{Loan: p.loans.lend(b.Borrow)}
+		return &schema.Reply{Loan: p.loans.handleBorrow(b.Borrow)}
 	case *schema.Request_GiveBack:
-		return &schema.Reply{Loan: p.loans.takeBack(b.GiveBack)}
+		return &schema.Reply{Loan: p.loans.handleReturn(b.GiveBack)}
 	case *schema.Request_State:
-		return &schema.Reply{State: p.syncer.stateFor(b.State)}
+		return &schema.Reply{State: p.syncer.newerState(b.State)}
 	case *schema.Request_Handover:
-		return &schema.Reply{Handover: p.handover.take(b.Handover)}
+		return &schema.Reply{Handover: p.handover.receivePart(b.Handover)}
 	case *schema.Request_Status:
 		return &schema.Reply{Status: p.status()}
 	}
@@ -39,8 +39,8 @@
 }
 
 // forward serves a caller's request that another entry took in.
-func (p *peers) forward(ctx context.Context, f *schema.Forward) *schema.ForwardReply {
-	r := p.router.serve(ctx, call{
+func (p *peerAPI) serveForwarded(ctx context.Context, f *schema.Forward) *schema.ForwardReply {
+	r := p.router.serve(ctx, callerRequest{
 		method:    f.GetMethod(),
 		id:        f.GetId(),
 		team:      f.GetTeam(),
@@ -51,7 +51,7 @@
 		Status:           int32(r.status),
 		RetryAfterMs:     r.retryAfter.Milliseconds(),
 		Body:             r.body,
-		WrongIncarnation: r.gone,
+		WrongIncarnation: r.wrongIncarnation,
 		Successor:        r.successor,
 	}
 }
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -30,7 +30,7 @@
 }
 
 // defaultLimits suit callers on mobile networks.
-var defaultLimits = httpLimits{
+var defaultHTTPLimits = httpLimits{
 	readHeader:  5 * time.Second,
 	read:        30 * time.Second,
 	write:       30 * time.Second,
@@ -53,8 +53,8 @@
 
 // Start opens the sockets and starts the background work.
 func (e *Entry) Start(context.Context) error {
-	gate := &lateHandler{ready: make(chan struct{})}
-	server, err := peer.Listen(listenAddress(e.settings), e.servers.cred, gate)
+	handler := &deferredHandler{ready: make(chan struct{})}
+	server, err := peer.Listen(listenAddress(e.settings), e.servers.cred, handler)
 	if err != nil {
 		return errors.Wrap(err, "--peer-address")
 	}
@@ -64,11 +64,11 @@
 		self = server.Address()
 	}
 	e.assemble(self)
-	gate.set(e.peers)
+	handler.set(e.peerAPI)
 	if err := e.listenHTTP(); err != nil {
 		return errors.CombineErrors(err, e.close())
 	}
-	e.background()
+	e.startBackground()
 	e.log.WithFields(logrus.Fields{
 		"event": "started", "domain": e.settings.Domain, "peer": self, "callers": e.servers.caller,
 		"operators": e.servers.operator, "metrics": e.servers.metrics,
@@ -78,14 +78,14 @@
 
 func (e *Entry) listenHTTP() error {
 	var err error
-	if e.servers.caller, err = e.serveHTTP(e.settings.CallerAddress, e.trackRequests(e.callers.handler())); err != nil {
+	if e.servers.caller, err = e.serveHTTP(e.settings.CallerAddress, e.trackRequests(e.callerAPI.handler())); err != nil {
 		return errors.Wrap(err, "--caller-address")
 	}
 	e.servers.callerHTTP = e.servers.http[0]
-	if e.servers.operator, err = e.serveHTTP(e.settings.OperatorAddress, e.operator.handler()); err != nil {
+	if e.servers.operator, err = e.serveHTTP(e.settings.OperatorAddress, e.operatorAPI.handler()); err != nil {
 		return errors.Wrap(err, "--operator-address")
 	}
-	if e.servers.metrics, err = e.serveHTTP(e.settings.MetricsAddress, e.monitor()); err != nil {
+	if e.servers.metrics, err = e.serveHTTP(e.settings.MetricsAddress, e.monitoringHandler()); err != nil {
 		return errors.Wrap(err, "--metrics-address")
 	}
 	return nil
@@ -112,21 +112,21 @@
 }
 
 // background starts the loops that run until the entry stops.
-func (e *Entry) background() {
+func (e *Entry) startBackground() {
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
 	e.members.setCandidates(e.state.vmList(), e.settings.SeedPeers)
 	e.wg.Go(func() { e.syncer.watchConfig(ctx) })
 	e.wg.Go(func() { e.syncer.watchVMs(ctx) })
 	e.wg.Go(func() { e.members.run(ctx) })
-	e.wg.Go(func() { every(ctx, tickInterval, e.tick) })
-	e.wg.Go(func() { every(ctx, sweepInterval, e.sweep) })
-	e.wg.Go(func() { every(ctx, demandPeriod, e.quotas.observe) })
-	e.wg.Go(func() { every(ctx, peerIdleTimeout, func() { e.client.CloseIdle(peerIdleTimeout) }) })
+	e.wg.Go(func() { runEvery(ctx, tickInterval, e.tick) })
+	e.wg.Go(func() { runEvery(ctx, sweepInterval, e.sweep) })
+	e.wg.Go(func() { runEvery(ctx, demandPeriod, e.quotas.endDemandPeriod) })
+	e.wg.Go(func() { runEvery(ctx, peerIdleTimeout, func() { e.peerClient.CloseIdle(peerIdleTimeout) }) })
 }
 
 // every calls fn at an interval until the context ends.
-func every(ctx context.Context, interval time.Duration, fn func()) {
+func runEvery(ctx context.Context, interval time.Duration, fn func()) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
@@ -178,7 +178,7 @@
 	for _, s := range e.servers.http {
 		err = errors.CombineErrors(err, s.Close())
 	}
-	e.client.Close()
+	e.peerClient.Close()
 	err = errors.CombineErrors(err, e.servers.peer.Close())
 	e.backend.Close()
 	e.platform.Close()
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -97,16 +97,16 @@
 }
 
 func checkOperators(c schema.EntrySettings) error {
-	holders := make(map[string]bool)
+	seen := make(map[string]bool)
 	for _, o := range c.Operators {
 		name, hash, ok := strings.Cut(o, ":")
 		if !ok || name == "" || !config.IsTokenHash(hash) {
 			return errors.Newf("--operators has %q; accepted are name:hash with the token's SHA-256 in 64 lower-case hexadecimal digits, separated by commas", o)
 		}
-		if holders[name] || holders[hash] {
+		if seen[name] || seen[hash] {
 			return errors.Newf("--operators has the name or hash of %q twice; accepted is each once", name)
 		}
-		holders[name], holders[hash] = true, true
+		seen[name], seen[hash] = true, true
 	}
 	return nil
 }
@@ -115,7 +115,7 @@
 	if c.AnswerBytes < minAnswerBytes || c.AnswerBytes > maxAnswerBytes {
 		return errors.Newf("--answer-bytes is %d; accepted are %d to %d", c.AnswerBytes, minAnswerBytes, int64(maxAnswerBytes))
 	}
-	for _, b := range bounds(c) {
+	for _, b := range durationSettings(c) {
 		if b.value < b.low || b.value > b.high {
 			return errors.Newf("--%s is %s; accepted are %s to %s", b.flag, b.value, b.low, b.high)
 		}
@@ -129,7 +129,7 @@
 	return nil
 }
 
-func bounds(c schema.EntrySettings) []durationBounds {
+func durationSettings(c schema.EntrySettings) []durationBounds {
 	return []durationBounds{
 		{"heartbeat-interval", c.HeartbeatInterval, 50 * time.Millisecond, 10 * time.Second},
 		{"peer-timeout", c.PeerTimeout, 150 * time.Millisecond, time.Minute},
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -42,7 +42,7 @@
 
 // offerConfig puts a document in force if it is newer. A lower revision is never
 // taken: a store or a peer that comes back older would undo what was accepted.
-func (s *state) offerConfig(c *schema.Config) bool {
+func (s *state) updateConfig(c *schema.Config) bool {
 	s.mu.Lock()
 	newer := c.GetRevision() > s.index.Revision()
 	if newer {
@@ -50,13 +50,13 @@
 	}
 	s.mu.Unlock()
 	if newer {
-		s.changed()
+		s.notifySubscribers()
 	}
 	return newer
 }
 
 // offerVMs takes a VM list if it is newer.
-func (s *state) offerVMs(l *schema.VmList) bool {
+func (s *state) updateVMs(l *schema.VmList) bool {
 	s.mu.Lock()
 	newer := l.GetVersion() > s.vms.GetVersion()
 	if newer {
@@ -64,12 +64,12 @@
 	}
 	s.mu.Unlock()
 	if newer {
-		s.changed()
+		s.notifySubscribers()
 	}
 	return newer
 }
 
-func (s *state) changed() {
+func (s *state) notifySubscribers() {
 	s.mu.RLock()
 	subscribers := s.onChange
 	s.mu.RUnlock()
@@ -79,7 +79,7 @@
 }
 
 // lacks says what is missing before work can be taken; empty when nothing is.
-func (s *state) lacks() string {
+func (s *state) missing() string {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	switch {
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -40,8 +40,8 @@
 	// the same news cause one transfer.
 	fetching atomic.Bool
 
-	mu   sync.Mutex
-	seen platformView
+	mu       sync.Mutex
+	lastSeen platformView
 }
 
 // platformView is what the last calls of the platform's service showed.
@@ -50,38 +50,38 @@
 	// answer.
 	doc *schema.Config
 	// ignored says why that document is not obeyed; empty when it is.
-	ignored string
+	ignoredReason string
 	// failing holds since when each kind of call has failed.
-	failing map[string]time.Duration
+	failingSince map[string]time.Duration
 }
 
 // watch calls once again and again until the context ends; once makes one watch and
 // tells whether it brought news.
-func (s *syncer) watch(ctx context.Context, what string, once func() (news bool, err error)) {
-	p := newPace()
+func (s *syncer) watchRepeatedly(ctx context.Context, call string, watchOnce func() (changed bool, err error)) {
+	backoff := newWatchBackoff()
 	for ctx.Err() == nil {
 		begin := time.Now()
-		news, err := once()
+		changed, err := watchOnce()
 		switch {
 		case err == nil:
-			s.answered(what)
+			s.handleAnswer(call)
 		case ctx.Err() == nil:
-			s.failed(what, err)
+			s.handleFailure(call, err)
 		}
-		clock.Sleep(ctx, p.after(news, err == nil && time.Since(begin) >= s.watchWait/2))
+		clock.Sleep(ctx, backoff.next(changed, err == nil && time.Since(begin) >= s.watchWait/2))
 	}
 }
 
 // failed notes a watch that failed. A stretch of failures is one event.
-func (s *syncer) failed(call string, err error) {
+func (s *syncer) handleFailure(call string, err error) {
 	s.metrics.count("platform_failures", "call", call)
 	s.mu.Lock()
-	if s.seen.failing == nil {
-		s.seen.failing = make(map[string]time.Duration)
+	if s.lastSeen.failingSince == nil {
+		s.lastSeen.failingSince = make(map[string]time.Duration)
 	}
-	_, known := s.seen.failing[call]
+	_, known := s.lastSeen.failingSince[call]
 	if !known {
-		s.seen.failing[call] = s.clock.Now()
+		s.lastSeen.failingSince[call] = s.clock.Now()
 	}
 	s.mu.Unlock()
 	if !known {
@@ -90,10 +90,10 @@
 }
 
 // answered notes a call that was answered.
-func (s *syncer) answered(call string) {
+func (s *syncer) handleAnswer(call string) {
 	s.mu.Lock()
-	since, failing := s.seen.failing[call]
-	delete(s.seen.failing, call)
+	since, failing := s.lastSeen.failingSince[call]
+	delete(s.lastSeen.failingSince, call)
 	s.mu.Unlock()
 	if failing {
 		s.log.WithFields(logrus.Fields{"event": "platform_back", "call": call, "after": s.clock.Now() - since}).Info("platform answers again")
@@ -107,77 +107,77 @@
 // by then stand for another document.
 func (s *syncer) watchConfig(ctx context.Context) {
 	var revision uint64
-	fresh := true
-	s.watch(ctx, "config", func() (bool, error) {
+	reread := true
+	s.watchRepeatedly(ctx, "config", func() (bool, error) {
 		before := s.state.config().Revision()
-		v, news, err := s.nextConfig(ctx, revision, fresh)
+		v, changed, err := s.readConfig(ctx, revision, reread)
 		if err != nil {
-			fresh = true
+			reread = true
 			return false, err
 		}
 		revision = v.Revision
-		news = news || fresh
-		if news {
-			s.takeConfig(v.Value)
+		changed = changed || reread
+		if changed {
+			s.applyConfig(v.Value)
 		}
-		fresh = s.compare(before)
-		return news, nil
+		reread = s.checkPlatformDocument(before)
+		return changed, nil
 	})
 }
 
 // nextConfig reads the key, or waits until its revision differs. A key without a
 // value has revision 0.
-func (s *syncer) nextConfig(ctx context.Context, revision uint64, fresh bool) (v platform.Value, news bool, err error) {
-	if fresh {
+func (s *syncer) readConfig(ctx context.Context, revision uint64, reread bool) (v platform.Value, changed bool, err error) {
+	if reread {
 		v, err = s.platform.Get(ctx, ConfigKey)
 	} else {
-		v, news, err = s.platform.Watch(ctx, ConfigKey, revision, s.watchWait)
+		v, changed, err = s.platform.Watch(ctx, ConfigKey, revision, s.watchWait)
 	}
 	if errors.Is(err, platform.ErrNotFound) {
 		return platform.Value{}, revision != 0, nil
 	}
-	return v, news, err
+	return v, changed, err
 }
 
 // takeConfig puts a document from the platform in force if it is newer.
-func (s *syncer) takeConfig(b []byte) {
+func (s *syncer) applyConfig(b []byte) {
 	c := new(schema.Config)
 	if err := proto.Unmarshal(b, c); err != nil {
 		s.mu.Lock()
-		s.seen.doc = nil
+		s.lastSeen.doc = nil
 		s.mu.Unlock()
 		return
 	}
-	if s.state.offerConfig(c) {
-		s.logInForce(c, "platform")
+	if s.state.updateConfig(c) {
+		s.logConfigInForce(c, "platform")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen.doc = c
+	s.lastSeen.doc = c
 }
 
 // compare reports a platform whose document is not the one in force. The revision
 // that was in force before the read is what the platform must have held: while the
 // answer was under way a peer may have brought a newer one. Then the key has to be
 // read again, which compare tells.
-func (s *syncer) compare(before uint64) (again bool) {
-	have := s.state.config().Document()
+func (s *syncer) checkPlatformDocument(before uint64) (readAgain bool) {
+	inForce := s.state.config().Document()
 	s.mu.Lock()
-	seen := s.seen.doc
+	doc := s.lastSeen.doc
 	s.mu.Unlock()
 	switch {
-	case seen == nil:
-		s.ignore(nil, "unreadable", "the platform's document can't be decoded")
-	case seen.GetRevision() < before:
-		s.ignore(seen, "older", "the platform's document is older than the one in force")
-	case seen.GetRevision() < have.GetRevision():
+	case doc == nil:
+		s.reportIgnored(nil, "unreadable", "the platform's document can't be decoded")
+	case doc.GetRevision() < before:
+		s.reportIgnored(doc, "older", "the platform's document is older than the one in force")
+	case doc.GetRevision() < inForce.GetRevision():
 		return true
-	case config.Diverged(seen, have):
-		s.ignore(seen, "forked", "the platform's document has the revision in force but another content")
+	case config.Diverged(doc, inForce):
+		s.reportIgnored(doc, "forked", "the platform's document has the revision in force but another content")
 	default:
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.seen.ignored = ""
+		s.lastSeen.ignoredReason = ""
 	}
 	return false
 }
@@ -185,22 +185,22 @@
 // ignore reports once a document of the platform that is not obeyed. Obeying an older
 // one would undo what was confirmed to an operator, and a drained worker would get
 // work again; the operator decides, by a plan to restore.
-func (s *syncer) ignore(c *schema.Config, why, message string) {
+func (s *syncer) reportIgnored(c *schema.Config, reason, message string) {
 	s.mu.Lock()
 	message = fmt.Sprintf("%s (revision %d)", message, c.GetRevision())
-	known := s.seen.ignored == message
-	s.seen.ignored = message
+	reported := s.lastSeen.ignoredReason == message
+	s.lastSeen.ignoredReason = message
 	s.mu.Unlock()
-	if known {
+	if reported {
 		return
 	}
-	s.metrics.count("config_ignored", "reason", why)
+	s.metrics.count("config_ignored", "reason", reason)
 	s.log.WithFields(logrus.Fields{
-		"event": "config_ignored", "reason": why, "revision": c.GetRevision(), "in_force": s.state.config().Revision(),
+		"event": "config_ignored", "reason": reason, "revision": c.GetRevision(), "in_force": s.state.config().Revision(),
 	}).Error(message)
 }
 
-func (s *syncer) logInForce(c *schema.Config, from string) {
+func (s *syncer) logConfigInForce(c *schema.Config, from string) {
 	s.log.WithFields(logrus.Fields{"event": "config_in_force", "revision": c.GetRevision(), "from": from}).Info("configuration in force")
 }
 
@@ -209,21 +209,21 @@
 // differ from that for good and end every watch at once.
 func (s *syncer) watchVMs(ctx context.Context) {
 	var version uint64
-	s.watch(ctx, "vms", func() (bool, error) {
+	s.watchRepeatedly(ctx, "vms", func() (bool, error) {
 		l, ok, err := s.platform.VMs(ctx, version, s.watchWait)
 		if err != nil {
 			version = 0 // the next call is answered at once and shows that the outage is over
 			return false, err
 		}
 		version = l.GetVersion()
-		return ok && s.takeVMs(l), nil
+		return ok && s.applyVMs(l), nil
 	})
 }
 
 // takeVMs takes a VM list from the platform, if it is newer.
-func (s *syncer) takeVMs(l *schema.VmList) bool {
+func (s *syncer) applyVMs(l *schema.VmList) bool {
 	fields := logrus.Fields{"event": "vm_list", "version": l.GetVersion(), "vms": len(l.GetVms())}
-	if s.state.offerVMs(l) {
+	if s.state.updateVMs(l) {
 		s.log.WithFields(fields).Info("VM list changed")
 		return true
 	}
@@ -238,7 +238,7 @@
 func (s *syncer) platformRevision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seen.doc.GetRevision()
+	return s.lastSeen.doc.GetRevision()
 }
 
 // alarms returns what an operator has to know about the platform.
@@ -246,11 +246,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []string
-	if len(s.seen.failing) > 0 {
+	if len(s.lastSeen.failingSince) > 0 {
 		list = append(list, AlarmPlatformUnavailable+": the platform's service gives no answer; the configuration in force stays")
 	}
-	if s.seen.ignored != "" {
-		list = append(list, AlarmConfigIgnored+": "+s.seen.ignored+"; plan restore")
+	if s.lastSeen.ignoredReason != "" {
+		list = append(list, AlarmConfigIgnored+": "+s.lastSeen.ignoredReason+"; plan restore")
 	}
 	return list
 }
@@ -263,7 +263,7 @@
 )
 
 // peerAhead fetches what a peer has newer than this entry.
-func (s *syncer) peerAhead(ctx context.Context, h *schema.Heartbeat) {
+func (s *syncer) fetchFromPeer(ctx context.Context, h *schema.Heartbeat) {
 	have := s.state.config().Revision()
 	version := s.state.vmList().GetVersion()
 	if h.GetConfigRevision() <= have && h.GetVmListVersion() <= version {
@@ -276,23 +276,23 @@
 	defer s.fetching.Store(false)
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	s.metrics.message("state")
+	s.metrics.countMessage("state")
 	reply, failure := s.client.Call(ctx, from, &schema.Request{Body: &schema.Request_State{
 		State: &schema.StateRequest{HaveConfigRevision: have, HaveVmListVersion: version},
 	}})
 	if failure != nil {
 		return
 	}
-	if c := reply.GetState().GetConfig(); c != nil && s.state.offerConfig(c) {
-		s.logInForce(c, from.String())
+	if c := reply.GetState().GetConfig(); c != nil && s.state.updateConfig(c) {
+		s.logConfigInForce(c, from.String())
 	}
 	if l := reply.GetState().GetVms(); l != nil {
-		s.state.offerVMs(l)
+		s.state.updateVMs(l)
 	}
 }
 
 // stateFor returns what the asking peer lacks.
-func (s *syncer) stateFor(r *schema.StateRequest) *schema.State {
+func (s *syncer) newerState(r *schema.StateRequest) *schema.State {
 	out := &schema.State{}
 	if x := s.state.config(); x.Revision() > r.GetHaveConfigRevision() {
 		out.Config = x.Document()
--- a/internal/entry/workers.go
+++ b/internal/entry/workers.go
@@ -25,7 +25,7 @@
 
 	// updating keeps an older list from being put in place after a newer one: a worker
 	// just marked as leaving would get work again.
-	updating sync.Mutex
+	updateMu sync.Mutex
 
 	mu      sync.Mutex
 	leaving *member.LeavingWorkers
@@ -33,17 +33,17 @@
 
 // update recomputes the list.
 func (w *workers) update() {
-	w.updating.Lock()
-	defer w.updating.Unlock()
+	w.updateMu.Lock()
+	defer w.updateMu.Unlock()
 	index := w.state.config()
 	vms := w.state.vmList()
-	w.takeList(vms)
+	w.applyVMList(vms)
 	list := make([]sched.Worker, 0, len(vms.GetVms()))
 	keep := make(map[string]bool, len(vms.GetVms()))
 	for _, vm := range vms.GetVms() {
 		if vm.GetRole() == schema.VmRole_VM_ROLE_WORKER {
 			keep[vm.GetAddress()] = true
-			list = append(list, w.worker(vm, index))
+			list = append(list, w.schedWorker(vm, index))
 		}
 	}
 	w.client.CloseUnlisted(keep)
@@ -51,12 +51,12 @@
 }
 
 // worker returns a VM as the scheduler sees it.
-func (w *workers) worker(vm *schema.Vm, index *config.Index) sched.Worker {
+func (w *workers) schedWorker(vm *schema.Vm, index *config.Index) sched.Worker {
 	s := sched.Worker{
 		Address:   vm.GetAddress(),
 		Domain:    vm.GetDomain(),
 		Total:     int(vm.GetSlots()),
-		Resources: resources(vm.GetResources()),
+		Resources: resourcesFromProto(vm.GetResources()),
 		Drained:   vm.GetLeaving() || w.isLeaving(vm.GetAddress()) || index.Drained(vm),
 	}
 	if vm.GetDomain() == w.domain {
@@ -65,12 +65,12 @@
 	return s
 }
 
-func resources(r *schema.Resources) sched.Resources {
+func resourcesFromProto(r *schema.Resources) sched.Resources {
 	return sched.Resources{CPUs: r.GetCpus(), MemoryMB: r.GetMemoryMb(), Accelerators: r.GetAccelerators()}
 }
 
 // takeList lets the VM list end notices of leaving workers.
-func (w *workers) takeList(l *schema.VmList) {
+func (w *workers) applyVMList(l *schema.VmList) {
 	listed := make(map[string]bool, len(l.GetVms()))
 	for _, vm := range l.GetVms() {
 		if vm.GetRole() == schema.VmRole_VM_ROLE_WORKER {
@@ -101,11 +101,11 @@
 
 // markLeaving notes a worker that said to this entry that it is leaving.
 func (w *workers) markLeaving(worker string) {
-	w.takeLeaving([]*schema.LeavingWorker{{Address: worker}})
+	w.handleLeaving([]*schema.LeavingWorker{{Address: worker}})
 }
 
 // takeLeaving notes workers that said that they are leaving.
-func (w *workers) takeLeaving(list []*schema.LeavingWorker) {
+func (w *workers) handleLeaving(list []*schema.LeavingWorker) {
 	w.mu.Lock()
 	changed := false
 	for _, l := range list {
