--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -1,3 +1,4 @@
+// The HTTP interface for callers: authentication, request bodies and replies.
 package entry
 
 import (
@@ -15,29 +16,29 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// HeaderID carries the identifier of a submission made by POST /v1/jobs.
+// HeaderID is the header with the identifier of a submission made by POST /v1/jobs.
 const HeaderID = "Lavendercleat-Id"
 
 const (
-	// maxReserve bounds the identifiers of one reservation.
+	// maxReservedIDs bounds the number of identifiers of one reservation.
 	maxReservedIDs = 1000
-	// maxReserveBody bounds the body of a reservation.
+	// maxReservationBytes bounds the body of a reservation.
 	maxReservationBytes = 4096
-	// teamKey is the key of the caller's team in gin's context.
+	// teamContextKey is the key of the caller's team in gin's context.
 	teamContextKey = "team"
 )
 
-// callers is the caller interface.
+// callerAPI serves the HTTP interface for callers.
 type callerAPI struct {
 	router *router
 	state  *state
-	// notReady returns why new work is refused, nil when it is accepted.
+	// checkAcceptsWork returns the reason why new work is refused, or nil if it is accepted.
 	checkAcceptsWork func() *verdict.Failure
-	// writeLimit bounds the time in which a caller must have taken its answer.
+	// writeLimit bounds the time in which a caller must read its reply.
 	writeLimit time.Duration
 }
 
-// handler returns the routes of the caller interface.
+// handler returns the handler of all routes for callers.
 func (a *callerAPI) handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	g := gin.New()
@@ -54,7 +55,7 @@
 	return g
 }
 
-// authenticate finds the caller's team by its bearer token.
+// authenticate determines the caller's team from the bearer token.
 func (a *callerAPI) authenticate(c *gin.Context) {
 	token, ok := strings.CutPrefix(c.GetHeader("Authorization"), "Bearer ")
 	if ok {
@@ -64,7 +65,7 @@
 		}
 	}
 	if f := a.checkAcceptsWork(); f != nil && f.Reason == verdict.NotReady {
-		a.writeRefusal(c, f) // without a configuration no token is known
+		a.writeRefusal(c, f) // without a configuration, no token can be checked
 		return
 	}
 	a.writeRefusal(c, verdict.New(verdict.NotRun, verdict.Unauthorized, "send a team's token as Authorization: Bearer TOKEN"))
@@ -72,15 +73,15 @@
 
 func (a *callerAPI) handleNoRoute(c *gin.Context) {
 	a.writeRefusal(c, verdict.New(verdict.NotRun, verdict.NotFound,
-		"there is nothing at this path; accepted are /v1/submissions, /v1/submissions/ID and /v1/jobs"))
+		"this path does not exist; accepted are /v1/submissions, /v1/submissions/ID and /v1/jobs"))
 }
 
 func (a *callerAPI) handleNoMethod(c *gin.Context) {
 	a.writeRefusal(c, verdict.New(verdict.NotRun, verdict.MethodNotAllowed,
-		"method %s is not accepted here, but %s", truncate(c.Request.Method), c.Writer.Header().Get("Allow")))
+		"method %s is not accepted for this path; accepted are %s", truncate(c.Request.Method), c.Writer.Header().Get("Allow")))
 }
 
-// reserve mints identifiers; nothing runs and no memory is held.
+// reserveIDs mints identifiers. A reservation starts nothing and takes no memory in the process.
 func (a *callerAPI) reserveIDs(c *gin.Context) {
 	if f := a.checkAcceptsWork(); f != nil {
 		a.writeRefusal(c, f)
@@ -94,7 +95,7 @@
 	req := schema.ReserveRequest{Count: 1}
 	if len(bytes.TrimSpace(body)) > 0 {
 		if err := decodeStrict(body, &req); err != nil {
-			a.writeRefusal(c, verdict.New(verdict.NotRun, verdict.BadRequest, "the body is not {\"count\": n}: %s", err))
+			a.writeRefusal(c, verdict.New(verdict.NotRun, verdict.BadRequest, "the body is not a JSON object {\"count\": n}: %s", err))
 			return
 		}
 	}
@@ -113,7 +114,7 @@
 	return a.router.minter.Mint(c.GetString(teamContextKey), a.router.clock.Now())
 }
 
-// submission serves PUT, GET and DELETE of one submission.
+// serveSubmission serves PUT, GET and DELETE requests for one submission.
 func (a *callerAPI) serveSubmission(c *gin.Context) {
 	req := callerRequest{method: c.Request.Method, id: c.Param("id"), team: c.GetString(teamContextKey)}
 	if req.method == http.MethodPut {
@@ -131,12 +132,12 @@
 	a.writeReply(c, a.router.serve(c.Request.Context(), req))
 }
 
-// jobBody reads a job up to the limit in force for bodies, limits.max_body_bytes.
+// readJobBody reads the body of a job, up to the configured limits.max_body_bytes.
 func (a *callerAPI) readJobBody(c *gin.Context) ([]byte, *verdict.Failure) {
 	return readBody(c, int64(a.state.config().Document().GetLimits().GetMaxBodyBytes()))
 }
 
-// oneCall reserves and submits in one call.
+// submitInOneCall reserves an identifier and submits the job under it, in one request.
 func (a *callerAPI) submitInOneCall(c *gin.Context) {
 	if f := a.checkAcceptsWork(); f != nil {
 		a.writeRefusal(c, f)
@@ -150,7 +151,7 @@
 	_, kind, failure := checkJob(a.state.config(), body)
 	if failure == nil && !kind.GetOneCall() {
 		failure = verdict.New(verdict.NotRun, verdict.ReserveFirst,
-			"a repeated POST would run this kind twice; reserve an identifier with POST /v1/submissions and send the job with PUT")
+			"a repeated POST would run a job of this kind twice; reserve an identifier with POST /v1/submissions and send the job with PUT")
 	}
 	if failure != nil {
 		a.writeRefusal(c, failure)
@@ -165,25 +166,25 @@
 		body:   body,
 	})
 	if c.Request.Context().Err() != nil {
-		// The caller never got the identifier, so nobody can ask for the answer.
+		// The caller did not receive the identifier, so nobody can request the answer.
 		a.router.submissions.cancel(id.String())
 	}
 	a.writeReply(c, resp)
 }
 
-// readBody reads a body of bounded size.
+// readBody reads a request body of at most limit bytes.
 func readBody(c *gin.Context, limit int64) ([]byte, *verdict.Failure) {
 	body, err := io.ReadAll(http.MaxBytesReader(c.Writer, c.Request.Body, limit))
 	if err == nil {
 		return body, nil
 	}
 	if _, tooLarge := err.(*http.MaxBytesError); tooLarge {
-		return nil, verdict.New(verdict.NotRun, verdict.TooLarge, "the body is over %d bytes; split the job", limit)
+		return nil, verdict.New(verdict.NotRun, verdict.TooLarge, "the body is larger than %d bytes; split the job", limit)
 	}
-	return nil, verdict.New(verdict.NotRun, verdict.BadRequest, "the body broke off")
+	return nil, verdict.New(verdict.NotRun, verdict.BadRequest, "the body could not be read to its end")
 }
 
-// refuse ends a request without asking the owner of its identifier, if it has one.
+// writeRefusal refuses a request without asking the owner of its identifier, if it has one.
 func (a *callerAPI) writeRefusal(c *gin.Context, f *verdict.Failure) {
 	c.Abort()
 	id := c.Param("id")
@@ -194,10 +195,10 @@
 	a.writeReply(c, a.router.refuseUnrouted(id, f))
 }
 
-// send writes a reply, with its advice when to ask again in whole seconds.
+// writeReply writes a reply. The Retry-After header is rounded up to whole seconds.
 func (a *callerAPI) writeReply(c *gin.Context, r reply) {
-	// The server's limit on writing counts from the request's header, but the caller
-	// may have waited long for its job. An error means that the connection is gone.
+	// The server's write time-out counts from the request's header, but the caller may have waited long for
+	// its job. So the time-out is restarted here. An error means that the connection is lost.
 	_ = http.NewResponseController(c.Writer).SetWriteDeadline(time.Now().Add(a.writeLimit))
 	if r.retryAfter > 0 {
 		seconds := (r.retryAfter + time.Second - 1) / time.Second
--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -1,3 +1,5 @@
+// The dispatcher: it feeds events to the scheduler, runs the tasks that the scheduler starts and
+// collects their results.
 package entry
 
 import (
@@ -14,17 +16,17 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// dispatcher carries out the scheduler's commands. The scheduler and the jobs are
-// under one lock, held for decisions only, never during I/O.
+// dispatcher carries out the scheduler's commands. One lock protects the scheduler and the jobs. It is
+// held for decisions only, never during I/O.
 type dispatcher struct {
 	clock   *clock.Clock
 	client  *backend.Client
 	metrics *Metrics
-	// onLeaving is told of workers that say that they are leaving.
+	// onWorkerLeaving is called for a worker that reports that it is leaving.
 	onWorkerLeaving func(worker string)
-	// onPause is told of a pause of the process; it must call release.
+	// onPause is called after a pause of the process. It must call endPause.
 	onPause func(late time.Duration)
-	// onBorrow and onGiveBack carry messages about slots to peers.
+	// onBorrow, onReturn and onFreeSlotsHint send messages about slots to peers.
 	onBorrow        func(sched.Borrow)
 	onReturn        func(sched.ReturnSlots)
 	onFreeSlotsHint func(sched.FreeSlotsHint)
@@ -34,21 +36,21 @@
 	jobs    map[sched.JobKey]*jobRun
 	cancels map[taskKey]context.CancelFunc
 	lastKey sched.JobKey
-	// stepped is the time of the latest step, holds the number of pauses after which
-	// the view is not yet refreshed.
+	// lastStep is the time of the latest step. pendingRefreshes is the number of pauses after which the view
+	// of the peers has not been refreshed yet.
 	lastStep         time.Duration
 	pendingRefreshes int
-	// halted is set once nothing may start or end any more.
+	// halted is set when the dispatcher must neither start nor end anything any more.
 	halted bool
 }
 
-// callKey identifies a task that is being run.
+// taskKey identifies a running task.
 type taskKey struct {
 	job  sched.JobKey
 	task int
 }
 
-// jobRun is a job with its payloads and results.
+// jobRun is a job with the payloads and results of its tasks.
 type jobRun struct {
 	submissionID string
 	path         string
@@ -57,30 +59,30 @@
 	taskTimeout  time.Duration
 	payloads     []json.RawMessage
 	results      []json.RawMessage
-	// size is the bytes of the results so far.
+	// resultBytes is the total size of the results so far.
 	resultBytes int
-	// finish is called once, with the results or the failure.
+	// finish is called once, with the results or with the failure.
 	finish func([]json.RawMessage, *verdict.Failure)
 }
 
-// maxResultBytes bounds the results of one job. A larger answer would not fit into
-// one message between entries: its caller at another entry would never get it.
+// maxResultBytes bounds the total size of the results of one job. A larger answer would not fit into one
+// message between entries, so a caller at another entry would never get it.
 const maxResultBytes = 16 << 20
 
-// Messages between entries have room for the largest answer and the largest body.
+// Compile-time checks: the largest answer and the largest body fit into one message between entries.
 const (
 	_ = uint(peer.MaxMessageBytes - maxResultBytes - maxMessageOverhead)
 	_ = uint(peer.MaxMessageBytes - config.MaxBodyBytes - maxMessageOverhead)
-	// messageOverhead is what a message has besides an answer or a body.
+	// maxMessageOverhead bounds the size of a message without its answer or body.
 	maxMessageOverhead = 1 << 20
 )
 
-// keep takes in a task's result.
+// addResult stores the result of a task, unless the results of the job become too large.
 func (j *jobRun) addResult(task int, result json.RawMessage) *verdict.Failure {
 	j.resultBytes += len(result)
 	if j.resultBytes > maxResultBytes {
 		return verdict.New(verdict.MayHaveRun, verdict.ReplyTooLarge,
-			"the results are over %d bytes in all; split the job", maxResultBytes)
+			"the results are larger than %d bytes in total; split the job", maxResultBytes)
 	}
 	j.results[task] = result
 	return nil
@@ -103,8 +105,8 @@
 	return d
 }
 
-// halt makes the dispatcher act on nothing any more and breaks off its calls, as when
-// the process dies.
+// halt cancels all calls to workers and makes the dispatcher ignore all further events, as if the process
+// had died.
 func (d *dispatcher) halt() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -114,8 +116,8 @@
 	}
 }
 
-// submit hands a job to the scheduler; finish is called exactly once unless the job
-// is refused.
+// submit submits a job to the scheduler. finish is called exactly once, unless the scheduler refuses the
+// job.
 func (d *dispatcher) submit(j sched.Job, r *jobRun) (sched.JobKey, *verdict.Failure) {
 	var refusal *verdict.Failure
 	d.step(func(now time.Duration) {
@@ -130,17 +132,17 @@
 	return j.Key, refusal
 }
 
-// cancel ends a job for its caller.
+// cancel cancels a job at its caller's request.
 func (d *dispatcher) cancel(key sched.JobKey) {
 	d.step(func(now time.Duration) { d.sched.Cancel(now, key) })
 }
 
-// stop ends every job.
+// stopJobs ends all jobs.
 func (d *dispatcher) stopJobs() {
 	d.step(func(time.Duration) { d.sched.Stop() })
 }
 
-// tick lets the scheduler act on the time.
+// tick lets the scheduler act on time-outs and deadlines.
 func (d *dispatcher) tick() {
 	d.step(func(now time.Duration) { d.sched.Tick(now) })
 }
@@ -152,21 +154,21 @@
 	return d.sched.Load(d.clock.Now())
 }
 
-// runningOn counts the running tasks by worker.
+// runningByWorker returns the number of running tasks by worker.
 func (d *dispatcher) runningByWorker() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.sched.RunningByWorker()
 }
 
-// kindDemand counts the running and waiting tasks by kind.
+// demandByKind returns the number of running and waiting tasks by kind.
 func (d *dispatcher) demandByKind() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.sched.DemandByKind()
 }
 
-// step runs one event under the lock and carries out the commands that follow.
+// step handles one event under the lock and then carries out the resulting commands.
 func (d *dispatcher) step(event func(now time.Duration)) {
 	d.mu.Lock()
 	if d.halted {
@@ -183,9 +185,9 @@
 	}
 }
 
-// notePause notices that the process stood still, by the time since the latest step:
-// there is one with every tick. Before the event is acted on, starts are held: peers
-// have given this entry's slots to others meanwhile, and workers may have left.
+// detectPause detects that the process was paused. Each tick is a step, so a long time since the latest
+// step shows the pause. After a pause, starts are held before the event is handled: peers may have given
+// this entry's slots to others meanwhile, and workers may have left.
 func (d *dispatcher) detectPause(now time.Duration) {
 	late := now - d.lastStep
 	first := d.lastStep == 0
@@ -198,7 +200,7 @@
 	go d.onPause(late)
 }
 
-// release ends the hold of one pause.
+// endPause records that the view was refreshed after one pause. Starts resume after the last refresh.
 func (d *dispatcher) endPause() {
 	d.step(func(now time.Duration) {
 		d.pendingRefreshes--
@@ -208,7 +210,8 @@
 	})
 }
 
-// commands turns the scheduler's commands into what is done without the lock.
+// apply starts the tasks that the scheduler started, and returns the actions to run without the lock. The
+// caller holds the lock.
 func (d *dispatcher) apply(r sched.Ready) []func() {
 	var actions []func()
 	for _, st := range r.Starts {
@@ -233,7 +236,7 @@
 	return actions
 }
 
-// slotMessages carries out the commands about slots.
+// sendSlotMessages carries out the scheduler's commands about slots, and counts ejected workers.
 func (d *dispatcher) sendSlotMessages(r sched.Ready) {
 	for _, b := range r.Borrows {
 		go d.onBorrow(b)
@@ -249,7 +252,7 @@
 	}
 }
 
-// begin prepares the call of a task.
+// prepareCall returns the context and the job of a task that is to start. The caller holds the lock.
 func (d *dispatcher) prepareCall(st sched.Start) (context.Context, *jobRun) {
 	j := d.jobs[st.Job]
 	if j == nil {
@@ -264,7 +267,7 @@
 	return ctx, j
 }
 
-// run calls the worker and reports the outcome.
+// runTask runs a task on its worker and reports the outcome to the scheduler.
 func (d *dispatcher) runTask(ctx context.Context, st sched.Start, j *jobRun) {
 	res, failure := d.callWorker(ctx, st, j)
 	if failure != nil && failure.Verdict == verdict.NotRun {
@@ -277,7 +280,7 @@
 		key := taskKey{st.Job, st.Task}
 		d.cancels[key]()
 		delete(d.cancels, key)
-		// A job that has ended hands out its results: a late one must not write there.
+		// A job that has ended has passed its results on. A late result must not be written into them.
 		if failure == nil && d.jobs[st.Job] == j {
 			failure = j.addResult(st.Task, res.Body)
 		}
@@ -285,13 +288,13 @@
 	})
 }
 
-// call sends a task to its worker.
+// callWorker sends a task to its worker and returns the result.
 func (d *dispatcher) callWorker(ctx context.Context, st sched.Start, j *jobRun) (backend.Result, *verdict.Failure) {
-	// The process may have been frozen between the decision and here. Nothing starts
-	// after the deadline: the caller no longer waits and may have submitted it again.
+	// The process may have been paused since the scheduler's decision. Nothing may start after the deadline:
+	// the caller no longer waits and may have submitted the job again.
 	remaining := j.deadline - d.clock.Now()
 	if remaining <= 0 {
-		return backend.Result{}, verdict.New(verdict.NotRun, verdict.DeadlineExceeded, "the deadline passed before the start")
+		return backend.Result{}, verdict.New(verdict.NotRun, verdict.DeadlineExceeded, "the deadline passed before the task started")
 	}
 	d.metrics.countStart()
 	res, failure := d.client.Do(ctx, backend.Task{
@@ -304,7 +307,7 @@
 		Payload:    j.payloads[st.Task],
 	})
 	if failure == nil && !json.Valid(res.Body) {
-		res.Body, _ = json.Marshal(string(res.Body)) // a string always encodes
+		res.Body, _ = json.Marshal(string(res.Body)) // encoding a string cannot fail
 	}
 	return res, failure
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,3 +1,4 @@
+// The entry daemon: construction, connections between its parts, readiness, gauges and status.
 package entry
 
 import (
@@ -22,18 +23,18 @@
 )
 
 const (
-	// tickInterval is how often the scheduler looks at the time.
+	// tickInterval is the time between ticks of the scheduler.
 	tickInterval = 10 * time.Millisecond
-	// peerIdleTimeout is how long an unused connection to a peer is kept: longer than any
-	// interval between heartbeats.
+	// peerIdleTimeout is how long an unused connection to a peer is kept. It is longer than any interval
+	// between heartbeats.
 	peerIdleTimeout = 15 * time.Second
-	// sweepInterval is how often ended submissions are dropped.
+	// sweepInterval is the time between sweeps of ended submissions.
 	sweepInterval = time.Second
-	// maxReplyBytes bounds one task's result.
+	// maxReplyBytes bounds the result of one task.
 	maxReplyBytes = 8 << 20
 )
 
-// Entry is one entry daemon.
+// Entry is an entry daemon.
 type Entry struct {
 	settings    schema.EntrySettings
 	schedConfig sched.Config
@@ -55,26 +56,25 @@
 	platform    *platform.Client
 	servers     servers
 	handover    *handover
-	// stopping is set when a planned stop begins, sealed when no job is started any
-	// more.
+	// stopping is set when a planned stop begins. sealed is set when the entry no longer starts jobs.
 	stopping atomic.Bool
 	sealed   atomic.Bool
-	// inFlight counts callers' requests being served.
+	// inFlight is the number of callers' requests in progress.
 	inFlight atomic.Int64
-	// requests is the context of all HTTP requests.
+	// requests is the parent context of all HTTP requests.
 	requests       context.Context
 	cancelRequests context.CancelFunc
 	cancel         context.CancelFunc
 	wg             sync.WaitGroup
 }
 
-// New puts an entry together; Start starts it.
+// New returns an entry that has not been started. Start starts it.
 func New(c schema.EntrySettings, cred peer.Credentials, log *logrus.Logger) (*Entry, error) {
 	return NewWithScheduler(c, cred, log, sched.DefaultConfig())
 }
 
-// NewWithScheduler puts an entry together whose scheduler has other settings than the
-// default ones, for experiments.
+// NewWithScheduler returns an entry with the given scheduler settings instead of the default ones, for
+// experiments.
 func NewWithScheduler(c schema.EntrySettings, cred peer.Credentials, log *logrus.Logger, s sched.Config) (*Entry, error) {
 	if err := CheckSettings(c); err != nil {
 		return nil, err
@@ -102,7 +102,7 @@
 	return e, nil
 }
 
-// listenAddress returns the address to listen on for peers.
+// listenAddress returns the address on which the entry listens for peers.
 func listenAddress(c schema.EntrySettings) netip.AddrPort {
 	if c.PeerListen.IsValid() {
 		return c.PeerListen
@@ -110,7 +110,7 @@
 	return c.PeerAddress
 }
 
-// assemble connects the parts; the peer address must be known.
+// assemble creates the parts of the entry and connects them. It needs the entry's peer address.
 func (e *Entry) assemble(self netip.AddrPort) {
 	minter := submission.NewMinter(self)
 	e.schedConfig.Domain = e.settings.Domain
@@ -174,7 +174,7 @@
 	}
 }
 
-// membersChanged acts on a change of the set of live peers.
+// handleMembersChange updates the parts that depend on the set of live peers.
 func (e *Entry) handleMembersChange() {
 	e.workers.update()
 	e.loans.updatePeers()
@@ -194,24 +194,24 @@
 	}
 }
 
-// settle returns the time after an identifier's minting after which its owner neither
-// starts its job nor tells an answer of it.
+// identifierLifetime returns the time after the minting of an identifier after which its owner neither
+// starts the job nor reports an answer.
 func (e *Entry) identifierLifetime() time.Duration {
 	deadline := time.Duration(e.state.config().Document().GetLimits().GetMaxDeadlineMs()) * time.Millisecond
 	return e.settings.IdentifierWindow + deadline + e.settings.AnswerRetention
 }
 
-// paused brings the view up to date after a pause of the process, then lets tasks start
-// again. The peers' answers tell who lives and which workers are leaving, and their
-// having answered means that they count with this entry again.
+// handlePause refreshes the view of the peers after a pause of the process, and then lets tasks start
+// again. The peers' answers show which peers are alive and which workers are leaving. A peer that has
+// answered counts this entry as alive again.
 func (e *Entry) handlePause(late time.Duration) {
 	e.metrics.count("pauses", "noticed_by", "tick")
-	e.log.WithFields(logrus.Fields{"event": "paused", "late": late}).Warn("the process stood still; asking the peers before starting tasks")
+	e.log.WithFields(logrus.Fields{"event": "paused", "late": late}).Warn("the process was paused; querying the peers before starting tasks")
 	e.members.refreshView(context.Background(), e.settings.PeerTimeout)
 	e.workers.dispatcher.endPause()
 }
 
-// heard acts on what a peer's heartbeat tells.
+// handleHeartbeat handles a peer's heartbeat.
 func (e *Entry) handleHeartbeat(h *schema.Heartbeat) {
 	e.workers.handleLeaving(h.GetLeaving())
 	e.loans.handleHeartbeat(h)
@@ -219,7 +219,7 @@
 	e.wg.Go(func() { e.syncer.fetchFromPeer(context.Background(), h) })
 }
 
-// fillHeartbeat adds what this entry knows.
+// fillHeartbeat adds this entry's state to an outgoing heartbeat.
 func (e *Entry) fillHeartbeat(h *schema.Heartbeat) {
 	h.ConfigRevision = e.state.config().Revision()
 	h.VmListVersion = e.state.vmList().GetVersion()
@@ -229,7 +229,7 @@
 	e.quotas.fillHeartbeat(h)
 }
 
-// refresh acts on a change of the configuration or the VM list.
+// handleStateChange updates the parts that depend on the configuration or the VM list.
 func (e *Entry) handleStateChange() {
 	e.members.setCandidates(e.state.vmList(), e.settings.SeedPeers)
 	e.workers.update()
@@ -255,7 +255,7 @@
 	e.metrics.gauge("answer_bytes", func() float64 { return float64(e.router.submissions.table.Bytes()) })
 }
 
-// publishTraffic publishes what the control traffic costs.
+// publishTrafficGauges publishes the amount of control traffic.
 func (e *Entry) publishTrafficGauges() {
 	peers := func() peer.Traffic { return e.peerClient.Traffic().Add(e.servers.peer.Traffic()) }
 	calls := &e.platform.Traffic
@@ -267,7 +267,7 @@
 	e.metrics.gauge(`platform_bytes_total{direction="received"}`, func() float64 { return float64(calls.Received.Load()) })
 }
 
-// notReady says why the balancer should send no work, nil when it should.
+// checkReady returns the reason why the load balancer must not send work, or nil if the entry is ready.
 func (e *Entry) checkReady() *verdict.Failure {
 	if e.stopping.Load() {
 		return verdict.New(verdict.NotRun, verdict.Stopping, "this entry is stopping; ask another").WithRetryAfter(time.Second)
@@ -275,7 +275,7 @@
 	return e.checkCanServe()
 }
 
-// unable says why no work can be done here, nil when it can.
+// checkCanServe returns the reason why this entry cannot run jobs, or nil if it can.
 func (e *Entry) checkCanServe() *verdict.Failure {
 	if why := e.state.missing(); why != "" {
 		return verdict.New(verdict.NotRun, verdict.NotReady, "%s", why).WithRetryAfter(time.Second)
@@ -283,19 +283,19 @@
 	return checkNotRetired(e.state, e.settings.Domain)
 }
 
-// Ready tells whether the entry takes new work.
+// Ready reports whether the entry accepts new work.
 func (e *Entry) Ready() bool { return e.checkReady() == nil }
 
-// alarms returns what an operator has to look at.
+// alarms returns the conditions that need an operator's attention.
 func (e *Entry) alarms() []string {
 	list := e.syncer.alarms()
 	if e.state.config().Retired(e.settings.Domain) {
-		list = append(list, AlarmDomainRetired+": failure domain "+e.settings.Domain+" is retired; this entry takes no new work")
+		list = append(list, AlarmDomainRetired+": failure domain "+e.settings.Domain+" is retired; this entry accepts no new work")
 	}
 	return list
 }
 
-// Status describes the entry.
+// Status returns the status of the entry.
 func (e *Entry) Status() *schema.StatusReply {
 	load := e.workers.dispatcher.load()
 	s := &schema.StatusReply{
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -1,3 +1,4 @@
+// The status of all entries of the fleet.
 package entry
 
 import (
@@ -14,21 +15,21 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// statusTimeout bounds the wait for the entries' own status.
+// statusTimeout bounds the wait for the status of the other entries.
 const statusTimeout = 2 * time.Second
 
-// fleet asks all entries about themselves.
+// statusCollector queries all entries for their status.
 type statusCollector struct {
 	members *membership
 	client  *peer.Client
 	metrics *Metrics
 	syncer  *syncer
-	// self describes this entry.
+	// self returns the status of this entry.
 	self func() *schema.StatusReply
 }
 
-// ask returns the status of every entry that answers in time, this one included,
-// and the addresses of the others.
+// collect returns the status of every entry that answers in time, including this one, and the addresses of
+// the entries that did not answer.
 func (f *statusCollector) collect(ctx context.Context) (replies []*schema.StatusReply, unreachable []string) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -55,7 +56,7 @@
 	return replies, unreachable
 }
 
-// askOne returns a peer's status, nil when there is no answer.
+// queryPeer returns a peer's status, or nil if the peer does not answer.
 func (f *statusCollector) queryPeer(ctx context.Context, a netip.AddrPort) *schema.StatusReply {
 	f.metrics.countMessage("status")
 	reply, failure := f.client.Call(ctx, a, &schema.Request{Body: &schema.Request_Status{Status: &schema.StatusRequest{}}})
@@ -65,7 +66,7 @@
 	return reply.GetStatus()
 }
 
-// status describes all entries.
+// fleetStatus returns the status of all entries.
 func (f *statusCollector) fleetStatus(ctx context.Context) schema.FleetStatus {
 	replies, unreachable := f.collect(ctx)
 	out := schema.FleetStatus{PlatformRevision: f.syncer.platformRevision(), Unreachable: unreachable}
@@ -81,7 +82,7 @@
 	return out
 }
 
-// load adds up what runs in the fleet.
+// fleetLoad adds up what runs at all entries.
 func (f *statusCollector) fleetLoad(ctx context.Context) config.FleetLoad {
 	replies, unreachable := f.collect(ctx)
 	l := config.FleetLoad{RunningByWorker: make(map[string]int), TeamRates: make(map[string]int), Unreachable: unreachable}
@@ -98,14 +99,14 @@
 	return l
 }
 
-// candidates returns the addresses of all known entries but this one.
+// candidates returns the addresses of all known entries except this one.
 func (m *membership) candidates() []netip.AddrPort {
 	var all []netip.AddrPort
 	m.withView(func(v *member.View) { all = v.Candidates() })
 	return all
 }
 
-// newestConfig returns the highest revision that a live peer has in force.
+// newestConfigRevision returns the highest revision that a live peer has in force.
 func (m *membership) newestConfigRevision() uint64 {
 	newest := uint64(0)
 	m.withView(func(v *member.View) {
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -1,3 +1,4 @@
+// Forwarding of requests to the owner of an identifier, and the replies when the owner does not answer.
 package entry
 
 import (
@@ -11,11 +12,11 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// maxForwards bounds how often one request is forwarded, each time to a process that
-// is nearer to the answer.
+// maxForwards bounds how often one request is forwarded. Each time, the target is the successor of the
+// previous one.
 const maxForwards = 4
 
-// forward hands a request to the owner, or to the one who keeps its answers.
+// forward forwards a request to the owner, or to the process that has taken over its answers.
 func (r *router) forward(ctx context.Context, owner member.Process, id submission.ID, req callerRequest) reply {
 	for range maxForwards {
 		to := r.members.successor(owner)
@@ -28,7 +29,7 @@
 		answer := r.forwardTo(ctx, to, req)
 		switch {
 		case answer == nil && r.members.successor(owner) != to:
-			continue // it stopped meanwhile
+			continue // the target stopped meanwhile and has a successor
 		case answer == nil:
 			return r.replyUnanswered(owner, to, id, req)
 		case answer.GetSuccessor() != nil:
@@ -49,15 +50,14 @@
 	return r.replyOwnerUnreachable(req)
 }
 
-// ask forwards a request and returns nil when there is no answer. It connects only to
-// known entries: the address in an identifier is the caller's to choose.
+// forwardTo forwards a request to one process, and returns nil if there is no answer. It connects only to
+// known entries, because the address in an identifier is input of the caller.
 func (r *router) forwardTo(ctx context.Context, to member.Process, req callerRequest) *schema.ForwardReply {
 	if !r.members.isEntry(to.Address) {
 		return nil
 	}
 	r.metrics.countMessage("forward")
-	// A caller is told at once when its owner is cut off, rather than after a wait for
-	// a connection, and told when to come back.
+	// If the owner is unreachable, the caller gets a Retry-After at once instead of waiting for a connection.
 	answer, failure := r.client.CallIfReachable(ctx, to.Address, &schema.Request{Body: &schema.Request_Forward{
 		Forward: &schema.Forward{Method: req.method, Id: req.id, Team: req.team, Body: req.body},
 	}})
@@ -67,23 +67,23 @@
 	return answer.GetForward()
 }
 
-// misdirected answers a forwarded request that names another process at this address.
+// serveMisdirected serves a forwarded request whose identifier names another process at this address.
 func (r *router) serveMisdirected(owner member.Process, req callerRequest) reply {
-	// A holder that ran at this address before is dead, and the answers with it. Named
-	// as the successor again, its caller would be sent here to ask for good.
+	// A successor that ran at this address earlier is dead, and its answers are lost. If the reply named it as
+	// the successor again, the sender would forward the request here forever.
 	if to := r.members.successor(owner); to != owner && to.Address != r.members.self.Address {
 		return reply{successor: successorMessage(owner, to, r.members.identifierLifetime())}
 	}
 	if r.clock.Now() < r.successorsKnownAt {
-		// The named process may have stopped gracefully, and this one not yet heard who
-		// keeps its answers. "Gone" would be a second ending beside the kept one.
+		// The named process may have stopped gracefully, and this process may not know the successor yet. A
+		// reply of "owner gone" would then be a second final response beside the one that the successor keeps.
 		return r.replyOwnerUnreachable(req)
 	}
 	return reply{wrongIncarnation: true}
 }
 
-// predecessor answers about a process that ran at this address before: it is dead. For
-// a while after the start it is not yet known whether another keeps its answers.
+// replyPredecessor replies about a process that ran at this address earlier and is dead. For some time
+// after its start, this process does not know whether the dead process has a successor.
 func (r *router) replyPredecessor(req callerRequest) reply {
 	if r.clock.Now() < r.successorsKnownAt {
 		return r.replyOwnerUnreachable(req)
@@ -91,9 +91,9 @@
 	return r.replyOwnerGone(req)
 }
 
-// unanswered decides what is told when the owner can't be asked. Only what is certain
-// is final: an owner that is cut off, or the holder of its answers, may tell the one
-// true ending to another caller.
+// replyUnanswered replies when the owner or the holder of its answers did not answer. The reply is final
+// only if the owner is certainly gone. An owner that is only unreachable, or the holder of its answers,
+// may report the true final response to another caller.
 func (r *router) replyUnanswered(owner, holder member.Process, id submission.ID, req callerRequest) reply {
 	if r.members.liveness(holder, id.MintedAt) == member.Replaced || r.members.liveness(owner, id.MintedAt) == member.Expired {
 		return r.replyOwnerGone(req)
@@ -101,13 +101,14 @@
 	return r.replyOwnerUnreachable(req)
 }
 
-// ownerGone is final: the owner is dead, and its right to start tasks with it, or its
-// time to start them and to tell of them is over. What it had started is unknown.
+// replyOwnerGone returns a final reply. Either the owner is dead, so nobody may start its tasks any more,
+// or the time in which it may start them and report an answer is over. It is not known which tasks it
+// started.
 func (r *router) replyOwnerGone(req callerRequest) reply {
 	return r.refuseWithKind(req.id, ownerGoneFailure(), r.requestedKind(req))
 }
 
-// kindOf returns the kind of the job that a PUT carries, nil when it is not known.
+// requestedKind returns the kind of the job in a PUT, or nil if it is not known.
 func (r *router) requestedKind(req callerRequest) *schema.Kind {
 	if req.method != http.MethodPut {
 		return nil
@@ -120,12 +121,13 @@
 }
 
 func ownerGoneFailure() *verdict.Failure {
-	return verdict.New(verdict.MayHaveRun, verdict.OwnerGone, "the entry that ran this submission is gone; it may have run")
+	return verdict.New(verdict.MayHaveRun, verdict.OwnerGone, "the entry that owned this submission is gone; the submission may have run")
 }
 
-// unreachable is not final: an owner that is cut off may still hold the answer.
+// replyOwnerUnreachable returns a reply that is not final, because an unreachable owner may still have
+// the answer.
 func (r *router) replyOwnerUnreachable(req callerRequest) reply {
 	r.metrics.countRefusal(verdict.OwnerUnreachable)
 	return pendingReply(req.id, http.StatusServiceUnavailable, verdict.OwnerUnreachable,
-		"the entry that owns this submission can't be reached now; ask again")
+		"the entry that owns this submission is unreachable; ask again")
 }
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -1,3 +1,4 @@
+// Handover of answers at a planned stop: sending them to a successor, and taking over those of a peer.
 package entry
 
 import (
@@ -17,17 +18,17 @@
 )
 
 const (
-	// handoverPart is the size in bytes at which a part of a handover is sent.
+	// handoverPartBytes is the size at which a part of a handover is sent. One larger answer makes a larger part.
 	handoverPartBytes = 4 << 20
-	// handoverCallTimeout bounds the wait for a successor's answer to one part.
+	// handoverCallTimeout bounds the wait for a successor's reply to one part.
 	handoverCallTimeout = 3 * time.Second
-	// handoverRetry is the pause before looking for a successor again.
+	// handoverRetryPause is the time between attempts to find a successor.
 	handoverRetryPause = 200 * time.Millisecond
 )
 
-// handover gives the ended answers of a stopping process to a successor, and takes
-// those of others. The table must be sealed and every record ended before giving, so
-// that what is handed over is complete.
+// handover sends the answers of a stopping process to a successor, and takes over the answers of peers
+// that stop. Before the answers are sent, the table must be sealed and every record must have ended, so
+// that the handover is complete.
 type handover struct {
 	clock        *clock.Clock
 	submissions  *submissions
@@ -36,12 +37,12 @@
 	client       *peer.Client
 	log          logrus.FieldLogger
 	metrics      *Metrics
-	// refuses tells whether this entry is stopping itself.
+	// stopping reports whether this entry is stopping itself.
 	stopping func() bool
 }
 
-// give hands over to the first peer that takes the answers, and tells the others. It
-// returns false when none did.
+// handOverToAny hands the answers over to the first peer that accepts them, and announces the successor to
+// the others. It returns false if no peer accepted them.
 func (h *handover) handOverToAny(ctx context.Context) bool {
 	for _, to := range h.members.successorCandidates() {
 		n, err := h.handOverTo(ctx, to)
@@ -51,14 +52,14 @@
 			return true
 		}
 		h.metrics.count("handovers", "result", "failed")
-		h.log.WithFields(logrus.Fields{"event": "handover_failed", "successor": to.Address}).WithError(err).Warn("no handover to this entry")
+		h.log.WithFields(logrus.Fields{"event": "handover_failed", "successor": to.Address}).WithError(err).Warn("this entry did not take over the answers")
 	}
 	return false
 }
 
-// giveTo sends everything to one process. A repeated or half-done handover is
-// harmless: endings never change, and only the last part makes the receiver answer
-// for identifiers without a record.
+// handOverTo sends all answers to one process. A repeated or incomplete handover does no harm: a final
+// response never changes, and only after the last part does the receiver reply for identifiers without a
+// record.
 func (h *handover) handOverTo(ctx context.Context, to member.Process) (answers int, err error) {
 	now := h.clock.Now()
 	newPart := func() *schema.Handover {
@@ -80,7 +81,7 @@
 	return answers, h.sendPart(ctx, to, part)
 }
 
-// stopped returns this process and those that handed over to it.
+// stoppedProcesses returns this process and the processes whose answers it has taken over.
 func (h *handover) stoppedProcesses(now time.Duration) []*schema.StoppedProcess {
 	all := append(h.predecessors.All(now), submission.Predecessor{
 		Process: submission.Process{Owner: h.members.self.Address, Incarnation: h.members.self.Incarnation},
@@ -93,7 +94,7 @@
 		out[i] = &schema.StoppedProcess{
 			Address:     p.Process.Owner.String(),
 			Incarnation: p.Process.Incarnation,
-			ClockMs:     p.Clock.Milliseconds() + 1, // rounded up: an earlier clock would be believed for too long
+			ClockMs:     p.Clock.Milliseconds() + 1, // rounded up: an earlier clock would be trusted for too long
 			WindowMs:    p.Window.Milliseconds(),
 			KeepMs:      p.KeepFor.Milliseconds(),
 		}
@@ -101,16 +102,16 @@
 	return out
 }
 
-// ended returns the kept answers.
+// endedSubmissions returns the kept answers.
 func (h *handover) endedSubmissions(now time.Duration) []*schema.EndedSubmission {
 	var all []*schema.EndedSubmission
 	h.submissions.table.EachEnded(now, func(r *submission.Record, keep time.Duration) {
 		resp := r.Response()
 		if len(resp.Body) > peer.MaxMessageBytes/2 {
-			// It can't be sent. Without a record the successor would say that nothing
-			// started.
+			// The answer is too large for a message. If it were left out, the successor would report that
+			// nothing started. So a failure replaces it.
 			failure := verdict.New(verdict.MayHaveRun, verdict.IdentifierExpired, "the answer was too large to be kept when its entry stopped")
-			body, _ := json.Marshal(failureAnswer(r.ID, failure, false)) // plain strings always encode
+			body, _ := json.Marshal(failureAnswer(r.ID, failure, false)) // encoding plain strings cannot fail
 			resp = submission.Response{Status: httpStatus(failure), Body: body}
 		}
 		all = append(all, &schema.EndedSubmission{
@@ -135,13 +136,13 @@
 		return failure
 	}
 	if !reply.GetHandover().GetTaken() {
-		return verdict.New(verdict.NotRun, verdict.Stopping, "entry %s is stopping, full or replaced", to.Address)
+		return verdict.New(verdict.NotRun, verdict.Stopping, "entry %s is stopping, has no space for the answers, or has been replaced", to.Address)
 	}
 	return nil
 }
 
-// take takes a part of a peer's answers. An entry that stops itself, or has no room,
-// refuses, and the peer asks another.
+// receivePart takes over a part of a peer's answers. It refuses if this entry is stopping itself or has no
+// space for the answers; the peer then tries another entry.
 func (h *handover) receivePart(part *schema.Handover) *schema.HandoverReply {
 	size := int64(0)
 	for _, s := range part.GetSubmissions() {
@@ -189,7 +190,7 @@
 		return
 	}
 	h.metrics.count("handovers", "result", "taken")
-	h.log.WithFields(logrus.Fields{"event": "took_over", "from": address}).Info("answers of a stopped entry taken over")
+	h.log.WithFields(logrus.Fields{"event": "took_over", "from": address}).Info("took over the answers of a stopped entry")
 	h.members.withView(func(v *member.View) {
 		v.SetSuccessor(now, member.Process{Address: address, Incarnation: p.GetIncarnation()}, h.members.self, stopped.KeepFor)
 	})
--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -1,3 +1,4 @@
+// Decoding of jobs, and their checks against the configuration.
 package entry
 
 import (
@@ -14,22 +15,22 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// shownText bounds how much of a caller's text is repeated to it.
+// maxEchoedText bounds how much of a caller's text an error message repeats, in bytes.
 const maxEchoedText = 64
 
-// heldRetryAfter is when callers of a held kind are told to come back: an operator decides
-// when it is resumed, and sooner calls would be refused too.
+// heldKindRetryAfter is the Retry-After for a job of a held kind. An operator decides when the kind is
+// resumed, so earlier requests would be refused too.
 const heldKindRetryAfter = 5 * time.Second
 
-// decodeJob reads a body that holds one job and nothing else.
+// decodeJob decodes a body that contains exactly one job.
 func decodeJob(body []byte) (*schema.Job, error) {
 	j := new(schema.Job)
 	return j, decodeStrict(body, j)
 }
 
-// decodeStrict reads one JSON value without unknown fields and without anything
-// behind it: what is not understood may change what the caller meant. The error is
-// for the caller and names no types of this program.
+// decodeStrict decodes exactly one JSON value. It rejects unknown fields and data after the value, because
+// they may change the meaning of the request. The error is for the caller and does not mention types of
+// this program.
 func decodeStrict(body []byte, v any) error {
 	dec := json.NewDecoder(bytes.NewReader(body))
 	dec.DisallowUnknownFields()
@@ -37,18 +38,18 @@
 		return callerError(err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return errors.Newf("there is more behind the JSON value, from byte %d on", dec.InputOffset())
+		return errors.Newf("there is more data after the JSON value, from byte %d on", dec.InputOffset())
 	}
 	return nil
 }
 
-// forCaller returns a decoding error in the caller's terms.
+// callerError converts a decoding error to an error for the caller.
 func callerError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	var syntax *json.SyntaxError
 	switch {
 	case errors.As(err, &wrongType) && wrongType.Field != "":
-		return errors.Newf("%s can't be a %s", wrongType.Field, wrongType.Value)
+		return errors.Newf("%s cannot be a %s", wrongType.Field, wrongType.Value)
 	case errors.As(err, &wrongType):
 		return errors.Newf("a JSON object is expected, not a %s", wrongType.Value)
 	case errors.As(err, &syntax):
@@ -56,12 +57,12 @@
 	case errors.Is(err, io.EOF):
 		return errors.New("it is empty")
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return errors.New("it ends too early")
+		return errors.New("it is truncated")
 	}
 	return errors.New(truncate(err.Error()))
 }
 
-// shorten bounds a caller's text that is repeated to it.
+// truncate bounds a caller's text that an error message repeats.
 func truncate(s string) string {
 	if len(s) <= maxEchoedText {
 		return s
@@ -69,8 +70,8 @@
 	return s[:maxEchoedText] + "..."
 }
 
-// checkJob decodes a job and checks it against the configuration. All failures are
-// NotRun, and the request's own fault but for a held kind.
+// checkJob decodes a job and checks it against the configuration. All failures are NotRun. Except for a
+// held kind, the request itself is invalid.
 func checkJob(index *config.Index, body []byte) (*schema.Job, *schema.Kind, *verdict.Failure) {
 	refuse := func(r verdict.Reason, format string, args ...any) (*schema.Job, *schema.Kind, *verdict.Failure) {
 		return nil, nil, verdict.New(verdict.NotRun, r, format, args...)
@@ -85,7 +86,7 @@
 	case kind == nil:
 		return refuse(verdict.UnknownKind, "kind %q is not in the configuration; name one that is", truncate(j.Kind))
 	case index.Held(j.Kind):
-		held := verdict.New(verdict.NotRun, verdict.KindHeld, "an operator holds kind %q; come back later", truncate(j.Kind))
+		held := verdict.New(verdict.NotRun, verdict.KindHeld, "an operator has put kind %q on hold; retry later", truncate(j.Kind))
 		return nil, nil, held.WithRetryAfter(heldKindRetryAfter)
 	case len(j.Tasks) == 0:
 		return refuse(verdict.BadRequest, "the job has no tasks; send at least one")
@@ -100,7 +101,8 @@
 	return j, kind, nil
 }
 
-// urgency returns the urgency of a job: its own, or its kind's.
+// jobUrgency returns the urgency of a job, by default that of its kind. It returns false for an unknown
+// name.
 func jobUrgency(name string, kind *schema.Kind) (sched.Urgency, bool) {
 	switch name {
 	case "high":
@@ -125,7 +127,7 @@
 	return sched.Normal
 }
 
-// payloads returns the tasks' payloads; a task without one gets null.
+// payloads returns the payloads of a job's tasks. The payload of a task without one is null.
 func payloads(j *schema.Job) []json.RawMessage {
 	p := make([]json.RawMessage, len(j.Tasks))
 	for i, t := range j.Tasks {
--- a/internal/entry/latehandler.go
+++ b/internal/entry/latehandler.go
@@ -1,3 +1,4 @@
+// A peer handler that waits until the entry's parts exist.
 package entry
 
 import (
@@ -7,8 +8,8 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// lateHandler holds peers' requests until the real handler is there: the entry's
-// parts need the address of the socket that already listens.
+// deferredHandler delays peers' requests until its handler is set. The parts of the entry need the address
+// of the listening socket, so the socket accepts requests before they exist.
 type deferredHandler struct {
 	ready   chan struct{}
 	handler peer.Handler
--- a/internal/entry/loans.go
+++ b/internal/entry/loans.go
@@ -1,3 +1,4 @@
+// Slot loans: the messages by which entries lend slots to each other, between the scheduler and the peers.
 package entry
 
 import (
@@ -12,12 +13,12 @@
 	"github.com/lavendercleat/lavendercleat/slot"
 )
 
-// loanTimeout bounds the wait for a peer's answer about slots. A peer that takes
-// longer is of no use to sub-second tasks.
+// loanTimeout bounds the wait for a peer's reply about slots. A slower reply is useless for sub-second
+// tasks.
 const loanTimeout = 500 * time.Millisecond
 
-// loans carries messages about slots between the scheduler and the peers. None is
-// sent twice: a lost one leaves a slot idle until the end of its term.
+// loans passes messages about slots between the scheduler and the peers. No message is repeated. If one is
+// lost, a slot stays idle until the end of its loan.
 type loans struct {
 	self       member.Process
 	client     *peer.Client
@@ -26,8 +27,8 @@
 	metrics    *Metrics
 }
 
-// update tells the scheduler who the live peers are. A stopping peer's share goes to
-// the others, so nothing is borrowed from it any more.
+// updatePeers passes the live peers to the scheduler. A peer that is stopping is left out: its share goes
+// to the other entries, so nothing can be borrowed from it any more.
 func (l *loans) updatePeers() {
 	var list []sched.Peer
 	l.members.withView(func(v *member.View) {
@@ -44,7 +45,7 @@
 	return sched.Peer{Address: a.String(), Incarnation: incarnation, Domain: domain}
 }
 
-// heard takes in how many slots a peer could lend.
+// handleHeartbeat passes the numbers of slots that a peer can lend and wants to the scheduler.
 func (l *loans) handleHeartbeat(h *schema.Heartbeat) {
 	p := sched.Peer{Address: h.GetAddress(), Incarnation: h.GetIncarnation(), Domain: h.GetDomain()}
 	l.setPeerFree(p, h.GetFreeSlots(), h.GetWantedSlots())
@@ -54,7 +55,7 @@
 	l.dispatcher.step(func(now time.Duration) { l.dispatcher.sched.SetPeerFree(now, p, int(free), int(wanted)) })
 }
 
-// hint lets a peer that lacks slots know of free ones, by an early heartbeat.
+// sendHint tells a peer that lacks slots about free ones, with a heartbeat before the next one is due.
 func (l *loans) sendHint(h sched.FreeSlotsHint) {
 	to, err := netip.ParseAddrPort(h.Peer.Address)
 	if err != nil {
@@ -64,7 +65,7 @@
 	l.members.exchangeHeartbeat(context.Background(), to, l.members.heartbeat())
 }
 
-// borrow asks a peer for slots and hands the answer to the scheduler.
+// borrow requests slots from a peer and passes the reply to the scheduler.
 func (l *loans) borrow(b sched.Borrow) {
 	l.metrics.countMessage("borrow")
 	reply := l.callPeer(b.Peer, &schema.Request{Body: &schema.Request_Borrow{Borrow: &schema.Borrow{
@@ -80,7 +81,7 @@
 	l.dispatcher.step(func(now time.Duration) { l.dispatcher.sched.HandleLendReply(now, b, answer) })
 }
 
-// giveBack returns idle slots to a peer and learns what it has free.
+// returnSlots returns idle slots to a peer. The reply contains the peer's number of free slots.
 func (l *loans) returnSlots(g sched.ReturnSlots) {
 	l.metrics.countMessage("give_back")
 	msg := &schema.GiveBack{Borrower: l.self.Address.String(), Incarnation: l.self.Incarnation}
@@ -93,7 +94,7 @@
 	}
 }
 
-// call sends a request to a peer; nil when there was no answer.
+// callPeer sends a request to a peer, and returns nil if there is no reply.
 func (l *loans) callPeer(to sched.Peer, r *schema.Request) *schema.Loan {
 	address, err := netip.ParseAddrPort(to.Address)
 	if err != nil {
@@ -108,7 +109,7 @@
 	return reply.GetLoan()
 }
 
-// Results of asking for slots, as counted.
+// Values of the label result of the borrows metric.
 const (
 	borrowGotSlots   = "slots"
 	borrowGotNothing = "nothing"
@@ -164,7 +165,7 @@
 	return out
 }
 
-// lend answers a peer that asks for slots.
+// handleBorrow handles a peer's request for slots.
 func (l *loans) handleBorrow(m *schema.Borrow) *schema.Loan {
 	r := sched.LendRequest{
 		Borrower: slot.Borrower{Address: m.GetBorrower(), Incarnation: m.GetIncarnation()},
@@ -184,7 +185,7 @@
 	}
 }
 
-// takeBack takes back slots that a peer returns.
+// handleReturn takes back the slots that a peer returns.
 func (l *loans) handleReturn(m *schema.GiveBack) *schema.Loan {
 	borrower := slot.Borrower{Address: m.GetBorrower(), Incarnation: m.GetIncarnation()}
 	var parts []slot.Loan
--- a/internal/entry/membership.go
+++ b/internal/entry/membership.go
@@ -1,3 +1,4 @@
+// Heartbeats: the exchange with the peers, and the view of them that results.
 package entry
 
 import (
@@ -15,10 +16,10 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// refreshPause is the pause before the peers are asked again.
+// refreshRetryPause is the time between attempts to refresh the view.
 const refreshRetryPause = 20 * time.Millisecond
 
-// membership exchanges heartbeats with the peers and keeps the view of them.
+// membership exchanges heartbeats with the peers and maintains the view of them.
 type membership struct {
 	clock    *clock.Clock
 	client   *peer.Client
@@ -27,54 +28,54 @@
 	interval time.Duration
 	self     member.Process
 	domain   string
-	// onChange is called when the set of live peers changed.
+	// onChange is called when the set of live peers has changed.
 	onChange func()
-	// onHeartbeat is told of each peer's heartbeat.
+	// onHeartbeat is called for each heartbeat of a peer.
 	onHeartbeat func(*schema.Heartbeat)
-	// fill adds what this entry has to tell to an outgoing heartbeat.
+	// fillHeartbeat adds the state of the entry's other parts to an outgoing heartbeat.
 	fillHeartbeat func(*schema.Heartbeat)
-	// settle returns the time after an identifier's minting after which its owner
-	// neither starts its job nor tells an answer of it.
+	// identifierLifetime returns the time after the minting of an identifier after which its owner neither
+	// starts the job nor reports an answer.
 	identifierLifetime func() time.Duration
 
 	mu       sync.Mutex
 	view     *member.View
 	schedule *member.HeartbeatSchedule
-	// handedBack is set once this entry, which is stopping, needs its slots no more.
+	// slotsReleased is set when this entry is stopping and no longer needs its slots.
 	slotsReleased bool
-	// lastBeat is the time of the latest beat, by which a pause is noticed.
+	// lastRound is the time of the latest heartbeat round. A late round shows a pause of this process.
 	lastRound time.Duration
 }
 
-// with runs fn on the view under its lock.
+// withView calls fn with the view, under the lock.
 func (m *membership) withView(fn func(v *member.View)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	fn(m.view)
 }
 
-// members returns the addresses among which this domain's slots are divided.
+// members returns the addresses of the entries that share the slots of this failure domain.
 func (m *membership) members() []netip.AddrPort {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Members()
 }
 
-// known tells whether an address belongs to an entry.
+// isEntry reports whether an address belongs to an entry.
 func (m *membership) isEntry(a netip.AddrPort) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Known(a)
 }
 
-// successor returns the process that keeps the answers of p.
+// successor returns the process that keeps the answers of p now.
 func (m *membership) successor(p member.Process) member.Process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Successor(p)
 }
 
-// setCandidates takes the entries of the VM list and the settings.
+// setCandidates sets the candidates for peers: the entries of the VM list and the seeds of the settings.
 func (m *membership) setCandidates(vms *schema.VmList, seeds []netip.AddrPort) {
 	c := make(map[netip.AddrPort]string)
 	for _, a := range seeds {
@@ -89,7 +90,7 @@
 	m.withView(func(v *member.View) { v.SetCandidates(c) })
 }
 
-// heartbeat returns what this entry tells its peers.
+// heartbeat returns this entry's heartbeat.
 func (m *membership) heartbeat() *schema.Heartbeat {
 	h := &schema.Heartbeat{
 		Address:     m.self.Address.String(),
@@ -118,7 +119,7 @@
 	}
 }
 
-// take takes in a peer's heartbeat.
+// handleHeartbeat handles a peer's heartbeat.
 func (m *membership) handleHeartbeat(h *schema.Heartbeat) {
 	address, err := netip.ParseAddrPort(h.GetAddress())
 	if err != nil {
@@ -153,6 +154,7 @@
 	m.onHeartbeat(h)
 }
 
+// handleSuccessor records the successor of a stopped process. The caller holds the lock.
 func (m *membership) handleSuccessor(s *schema.Successor) {
 	stopped, err1 := netip.ParseAddrPort(s.GetAddress())
 	successor, err2 := netip.ParseAddrPort(s.GetSuccessor())
@@ -181,12 +183,13 @@
 	}
 }
 
-// due tells whether a heartbeat is due; called under the lock.
+// heartbeatDue reports whether a heartbeat to an address is due. The caller holds the lock.
 func (m *membership) heartbeatDue(a netip.AddrPort) bool {
 	return m.schedule.Due(m.clock.Now(), a, m.view.Domain(a), m.view.Peer(a) != nil)
 }
 
-// beat drops silent peers and sends one heartbeat to every candidate that is wanted.
+// heartbeatRound removes the peers whose time-out has passed, and sends a heartbeat to every candidate for
+// which include returns true (all if nil).
 func (m *membership) heartbeatRound(ctx context.Context, include func(netip.AddrPort) bool) {
 	changed := false
 	m.withView(func(v *member.View) {
@@ -198,15 +201,15 @@
 		changed = v.Tick(now)
 	})
 	if changed {
-		m.log.WithField("event", "peer_changed").Warn("a peer went silent")
+		m.log.WithField("event", "peer_changed").Warn("a peer sent no heartbeat within its time-out")
 		m.onChange()
 	}
 	m.sendHeartbeats(ctx, include)
 }
 
-// send sends one heartbeat to every candidate that is wanted; to all for nil, when
-// there is news that must not wait. The returned group ends when each has answered or
-// did not in time.
+// sendHeartbeats sends a heartbeat to every candidate for which include returns true. If include is nil,
+// it sends one to all, for an update that must not wait. The returned group is done when each candidate
+// has answered or has timed out.
 func (m *membership) sendHeartbeats(ctx context.Context, include func(netip.AddrPort) bool) *sync.WaitGroup {
 	var candidates []netip.AddrPort
 	m.withView(func(v *member.View) {
@@ -227,12 +230,12 @@
 	return &pending
 }
 
-// announce sends a heartbeat to every candidate and waits for their answers, so that
-// those that can be reached know what it tells.
+// announce sends a heartbeat to every candidate and waits for the answers. After it, every reachable peer
+// has the current state of this entry.
 func (m *membership) announce(ctx context.Context) { m.sendHeartbeats(ctx, nil).Wait() }
 
-// refresh asks the peers until each live one has answered, or for a time at most: the
-// first call after a pause often fails, on a connection that timed out meanwhile.
+// refreshView exchanges heartbeats until every live peer has answered, at most for the given time. The
+// first call after a pause often fails, because its connection timed out during the pause.
 func (m *membership) refreshView(ctx context.Context, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -247,20 +250,20 @@
 	}
 }
 
-// handBack tells the peers that this entry's slots are theirs.
+// releaseSlots tells the peers that they can use this entry's slots.
 func (m *membership) releaseSlots(ctx context.Context) {
 	m.withView(func(*member.View) { m.slotsReleased = true })
 	m.announce(ctx)
 }
 
-// stoppedGracefully tells the peers who keeps the answers of this process.
+// announceSuccessor tells the peers which process keeps the answers of this one.
 func (m *membership) announceSuccessor(ctx context.Context, successor member.Process) {
 	m.withView(func(v *member.View) { v.SetSuccessor(m.clock.Now(), m.self, successor, m.identifierLifetime()) })
 	m.announce(ctx)
 }
 
-// successorCandidates returns the live peers to whom answers can be handed over, those
-// of the own failure domain first: a partition is less likely to cut them off.
+// successorCandidates returns the live peers that may take over the answers. Those of this failure domain
+// come first, because a partition is less likely to separate them from this entry.
 func (m *membership) successorCandidates() []member.Process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -278,14 +281,14 @@
 	return append(near, far...)
 }
 
-// liveness tells what is certain about the owner of an identifier.
+// liveness returns what is certain about the owner of an identifier.
 func (m *membership) liveness(owner member.Process, minted time.Duration) member.Liveness {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Liveness(m.clock.Now(), owner, minted)
 }
 
-// exchange sends a heartbeat and takes in the one that answers it.
+// exchangeHeartbeat sends a heartbeat and handles the peer's heartbeat in the answer.
 func (m *membership) exchangeHeartbeat(ctx context.Context, to netip.AddrPort, h *schema.Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, 2*m.interval)
 	defer cancel()
--- a/internal/entry/monitor.go
+++ b/internal/entry/monitor.go
@@ -1,3 +1,4 @@
+// The HTTP interface for monitoring.
 package entry
 
 import (
@@ -6,7 +7,7 @@
 	"github.com/gin-gonic/gin"
 )
 
-// monitor serves /metrics, /healthz and /readyz.
+// monitoringHandler returns the handler of /metrics, /healthz and /readyz.
 func (e *Entry) monitoringHandler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	g := gin.New()
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -1,3 +1,4 @@
+// The HTTP interface for operators: plans, confirmations, status, history and export.
 package entry
 
 import (
@@ -15,23 +16,23 @@
 )
 
 const (
-	// maxOperatorBody bounds a plan or a confirmation: a document of the largest size
-	// in JSON.
+	// maxOperatorBodyBytes bounds the body of a plan or confirmation. It suffices for the largest document in
+	// JSON.
 	maxOperatorBodyBytes = 8 << 20
-	// operatorKey is the key of the operator's name in gin's context.
+	// operatorContextKey is the key of the operator's name in gin's context.
 	operatorContextKey = "operator"
 )
 
-// operators is the operator interface.
+// operatorAPI serves the HTTP interface for operators.
 type operatorAPI struct {
-	// names holds the operators' names by the hash of their token.
+	// namesByTokenHash holds the operators' names by the hash of their token.
 	namesByTokenHash map[string]string
 	state            *state
 	planner          *planner
 	statuses         *statusCollector
 }
 
-// operatorNames returns the operators' names by token hash; the setting was checked.
+// operatorNames returns the operators' names by token hash. CheckSettings has checked the setting.
 func operatorNames(list []string) map[string]string {
 	names := make(map[string]string, len(list))
 	for _, s := range list {
@@ -41,7 +42,7 @@
 	return names
 }
 
-// handler returns the HTTP handler.
+// handler returns the handler of all routes for operators.
 func (o *operatorAPI) handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	g := gin.New()
@@ -54,7 +55,7 @@
 	return g
 }
 
-// authenticate finds the operator by the bearer token.
+// authenticate determines the operator from the bearer token.
 func (o *operatorAPI) authenticate(c *gin.Context) {
 	token, ok := strings.CutPrefix(c.GetHeader("Authorization"), "Bearer ")
 	if name, known := o.namesByTokenHash[config.HashToken(token)]; ok && known {
@@ -63,7 +64,7 @@
 	}
 	c.AbortWithStatusJSON(http.StatusUnauthorized, schema.Outcome{
 		Outcome: config.Refused, Reason: "unauthorized",
-		Message: "send an operator's token as Authorization: Bearer TOKEN; operators are set by --operators of the entry",
+		Message: "send an operator's token as Authorization: Bearer TOKEN; the entry's setting --operators lists the operators",
 	})
 }
 
@@ -87,12 +88,13 @@
 	}
 }
 
-// readOperator reads a request of an operator.
+// readOperatorRequest decodes the body of an operator's request. If it cannot, it replies with a refusal
+// and returns false.
 func readOperatorRequest(c *gin.Context, into any) bool {
 	dec := json.NewDecoder(http.MaxBytesReader(c.Writer, c.Request.Body, maxOperatorBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
-		writeOutcome(c, refusedOutcome(&config.Refusal{Reason: config.BadPlan, Message: fmt.Sprintf("the body can't be read: %v", err)}))
+		writeOutcome(c, refusedOutcome(&config.Refusal{Reason: config.BadPlan, Message: fmt.Sprintf("the body cannot be decoded: %v", err)}))
 		return false
 	}
 	return true
@@ -106,7 +108,7 @@
 	c.JSON(http.StatusOK, config.HistoryOf(o.state.config().Document()))
 }
 
-// export sends the document in force, which init accepts.
+// exportConfig sends the document in force, in the format that the command init accepts.
 func (o *operatorAPI) exportConfig(c *gin.Context) {
 	b, err := protojson.MarshalOptions{Multiline: true, UseProtoNames: true}.Marshal(o.state.config().Document())
 	if err != nil {
@@ -116,7 +118,7 @@
 	c.Data(http.StatusOK, "application/json", append(b, '\n'))
 }
 
-// outcomeStatuses gives the HTTP status of the reasons why a plan is not applied.
+// refusalStatuses holds the HTTP status for each reason of a refusal.
 var refusalStatuses = map[config.Reason]int{
 	config.BadIntent:           http.StatusBadRequest,
 	config.BadPlan:             http.StatusBadRequest,
@@ -161,13 +163,13 @@
 func unknownOutcome() schema.Outcome {
 	return schema.Outcome{
 		Outcome: config.OutcomeUnknown, Reason: string(config.PlatformUnavailable),
-		Message: "a write was sent and the platform's service gave no answer: the plan may have been applied, or may yet be. " +
-			"Confirm the same plan again once the platform answers: it is applied at most once, and the answer says whether it was",
+		Message: "a write was sent, but the platform's service did not answer: the plan may have been applied or may still be applied. " +
+			"Confirm the same plan again when the platform answers: it is applied at most once, and the answer tells whether it was applied",
 		RetryAfterMs: operatorRetryAfter.Milliseconds(),
 	}
 }
 
-// operatorInterface puts the operator interface together.
+// newOperatorAPI creates the operator interface.
 func (e *Entry) newOperatorAPI() *operatorAPI {
 	f := &statusCollector{members: e.members, client: e.peerClient, metrics: e.metrics, syncer: e.syncer, self: e.Status}
 	return &operatorAPI{
--- a/internal/entry/pace.go
+++ b/internal/entry/pace.go
@@ -1,3 +1,4 @@
+// The pauses between calls of a watch on the platform's service.
 package entry
 
 import (
@@ -7,22 +8,22 @@
 )
 
 const (
-	// newsPause follows a watch that brought something new; it bounds the rate of
-	// calls while changes come fast.
+	// changePause is the pause after a watch that returned a change. It bounds the rate of calls while changes
+	// come in quick succession.
 	changePause = 100 * time.Millisecond
-	// firstPause and longestPause bound the pauses after watches that brought nothing.
-	// The longest is short enough for a change to be in force seconds after an outage.
+	// minPause and maxPause bound the pauses after watches that returned no change. maxPause is short enough
+	// for a change to be in force within seconds after an outage.
 	minPause = 500 * time.Millisecond
 	maxPause = 4 * time.Second
-	// pauseJitter keeps entries that lost the platform together from coming back to it
-	// together.
+	// pauseJitter prevents entries that lost the platform at the same time from calling it again at the same
+	// time.
 	pauseJitter = 0.25
 )
 
-// pace decides how long a watch pauses between its calls. The platform's service
-// counts each call: one that fails or answers at once, such as a copy that came back
-// older and differs from what is in force each time it is asked, would be called
-// thousands of times a second without pauses.
+// watchBackoff decides how long a watch pauses between its calls. Each call costs the platform's service
+// work. Some calls fail or return at once every time, for example while the platform has been restored
+// from an older copy, which differs from the document in force at every call. Without pauses such a watch
+// would call thousands of times a second.
 type watchBackoff struct {
 	backoff *backoff.ExponentialBackOff
 }
@@ -36,8 +37,8 @@
 	}}
 }
 
-// after returns the pause after a call that brought news or not, and whether it
-// waited as it should have.
+// next returns the pause after a call. changed is whether the call returned a change, waited whether it
+// waited for about as long as requested.
 func (p *watchBackoff) next(changed, waited bool) time.Duration {
 	if !changed && !waited {
 		return p.backoff.NextBackOff()
--- a/internal/entry/pause_test.go
+++ b/internal/entry/pause_test.go
@@ -15,8 +15,8 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// After a pause of the process a job is admitted, but no task starts before the view
-// is refreshed: the slots may have been given to others meanwhile.
+// Guards against starting tasks after a pause of the process before the view is refreshed: peers may have
+// given the slots to others meanwhile. A job that arrives before the refresh is still accepted.
 func TestStartsAreHeldAfterPause(t *testing.T) {
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("1"))
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -1,3 +1,4 @@
+// The interface for peers: it passes each request of another entry to the part that handles it.
 package entry
 
 import (
@@ -6,7 +7,7 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// peers answers the requests of other entries.
+// peerAPI handles the requests of other entries.
 type peerAPI struct {
 	router   *router
 	members  *membership
@@ -38,7 +39,7 @@
 	return &schema.Reply{Error: "unknown request"}
 }
 
-// forward serves a caller's request that another entry took in.
+// serveForwarded serves a caller's request that another entry forwarded.
 func (p *peerAPI) serveForwarded(ctx context.Context, f *schema.Forward) *schema.ForwardReply {
 	r := p.router.serve(ctx, callerRequest{
 		method:    f.GetMethod(),
--- a/internal/entry/planner.go
+++ b/internal/entry/planner.go
@@ -1,3 +1,4 @@
+// Plans of operators: computing what an intent would change, and applying confirmed plans exactly once.
 package entry
 
 import (
@@ -15,45 +16,45 @@
 )
 
 const (
-	// platformCallTimeout bounds one call of the platform for an operator.
+	// platformCallTimeout bounds one call of the platform for an operator's request.
 	platformCallTimeout = 4 * time.Second
-	// confirmTimeout bounds the writing of a confirmed plan, lost replies included.
+	// confirmTimeout bounds the writing of a confirmed plan, including retries after lost replies.
 	confirmTimeout = 8 * time.Second
-	// rewritePause is the pause before a write without a reply is sent again.
+	// writeRetryPause is the pause before a write or read of the platform is repeated.
 	writeRetryPause = 200 * time.Millisecond
-	// maxReads bounds the reads of the platform that are overtaken by other plans.
+	// maxBaseReads bounds the repeated reads of the platform when other plans are applied during a read.
 	maxBaseReads = 5
-	// operatorRetryAfter is the advice to operators while something is unavailable.
+	// operatorRetryAfter is the Retry-After for operators while something is unavailable.
 	operatorRetryAfter = 2 * time.Second
 )
 
-// planner makes plans and carries out confirmed ones. It keeps nothing between the
-// two, so a plan may be confirmed at any entry.
+// planner computes plans and applies confirmed ones. It stores nothing between the two steps, so an
+// operator may confirm a plan at any entry.
 type planner struct {
 	state    *state
 	platform *platform.Client
 	syncer   *syncer
 	log      logrus.FieldLogger
 	metrics  *Metrics
-	// newestPeer returns the highest revision that a live peer has in force.
+	// newestPeerRevision returns the highest revision that a live peer has in force.
 	newestPeerRevision func() uint64
-	// load tells what runs in the fleet.
+	// fleetLoad returns what runs in the fleet.
 	fleetLoad func(context.Context) config.FleetLoad
-	// announce tells the peers of a new revision at once.
+	// announce reports a new revision to the peers at once.
 	announce func()
 }
 
-// stored is the platform's document. The key's own revision counts the writes of the
-// key and is what compare-and-swap compares; the document's revision is what entries
-// compare. They differ once a document was restored or brought a revision of its own.
+// storedDocument is the document that the platform stores. It has two revisions. The key's revision counts
+// the writes of the key; compare-and-swap compares it. The document's revision is the one that entries
+// compare. The two differ after a document has been restored or was written with a revision of its own.
 type storedDocument struct {
 	keyRevision uint64
 	doc         *schema.Config
-	// unreadable is set when the key's value can't be decoded; doc is empty then.
+	// unreadable is set when the key's value cannot be decoded. doc is empty then.
 	unreadable bool
 }
 
-// read reads the platform's document; an absent one is empty, at revision 0.
+// read reads the platform's document. If there is none, it returns an empty one at revision 0.
 func (p *planner) read(ctx context.Context) (storedDocument, *config.Refusal) {
 	ctx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
@@ -64,7 +65,7 @@
 	case err != nil:
 		return storedDocument{}, &config.Refusal{
 			Reason:  config.PlatformUnavailable,
-			Message: "the platform's service gives no answer, so nothing can be changed now; nothing was written and the configuration in force stays",
+			Message: "the platform's service does not answer, so no change is possible now; nothing was written, and the configuration in force stays",
 		}
 	}
 	s := storedDocument{keyRevision: v.Revision, doc: new(schema.Config)}
@@ -74,9 +75,9 @@
 	return s, nil
 }
 
-// current reads the platform and returns the document that an intent starts from. A
-// read that was overtaken by another plan is repeated: its document looks older than
-// the one in force, though the platform is not.
+// loadBase reads the platform's document and returns the document to which an intent applies. If another
+// plan was applied during the read, loadBase repeats the read: the document that it read is older than the
+// one in force, although the platform's is not.
 func (p *planner) loadBase(ctx context.Context, i schema.Intent) (s storedDocument, base *schema.Config, refusal *config.Refusal) {
 	for range maxBaseReads {
 		before := p.state.config().Revision()
@@ -93,9 +94,9 @@
 	return s, base, refusal
 }
 
-// base returns the document that an intent starts from.
+// selectBase returns the document to which an intent applies, or a refusal if there is none.
 func (p *planner) selectBase(s storedDocument, i schema.Intent) (*schema.Config, *config.Refusal) {
-	p.state.updateConfig(s.doc) // this entry may be the first to see it
+	p.state.updateConfig(s.doc) // this entry may be the first to read it
 	inForce := p.state.config().Document()
 	switch have := inForce.GetRevision(); {
 	case p.newestPeerRevision() > have:
@@ -103,31 +104,31 @@
 	case config.Action(i.Action) == config.Restore:
 		return p.restoreBase(s, inForce)
 	case s.unreadable:
-		return nil, &config.Refusal{Reason: config.Unreadable, Message: "the platform's document can't be decoded; plan restore writes back the one in force"}
+		return nil, &config.Refusal{Reason: config.Unreadable, Message: "the platform's document cannot be decoded; plan restore, which writes back the document in force"}
 	case s.doc.GetRevision() < have || config.Diverged(s.doc, inForce):
-		return nil, &config.Refusal{Reason: config.PlatformOlder, Message: "the platform's document is not the one in force, it came back older; plan restore first, which writes back the one in force"}
+		return nil, &config.Refusal{Reason: config.PlatformOlder, Message: "the platform's document is older than the one in force or differs from it; first plan restore, which writes back the document in force"}
 	}
 	return s.doc, nil
 }
 
-// restoreBase returns the document in force, to be written back.
+// restoreBase returns the document in force, which a restore writes back to the platform.
 func (p *planner) restoreBase(s storedDocument, inForce *schema.Config) (*schema.Config, *config.Refusal) {
 	if inForce.GetRevision() == 0 {
 		return nil, &config.Refusal{Reason: config.BadIntent, Message: "no configuration is in force at this entry"}
 	}
 	if s.doc.GetRevision() == inForce.GetRevision() && !config.Diverged(s.doc, inForce) {
-		return nil, &config.Refusal{Reason: config.BadIntent, Message: "the platform holds the document in force; there is nothing to restore"}
+		return nil, &config.Refusal{Reason: config.BadIntent, Message: "the platform has the document in force; there is nothing to restore"}
 	}
 	return inForce, nil
 }
 
-// plan returns what an intent would change. Nothing is kept.
+// plan computes what an intent would change. It stores nothing.
 func (p *planner) plan(ctx context.Context, operator string, i schema.Intent) (schema.Plan, *config.Refusal) {
 	s, base, refusal := p.loadBase(ctx, i)
 	if refusal != nil {
 		return schema.Plan{}, refusal
 	}
-	step, refusal := config.NewUpdate(base, i)
+	update, refusal := config.NewUpdate(base, i)
 	if refusal != nil {
 		return schema.Plan{}, refusal
 	}
@@ -135,10 +136,10 @@
 		BaseRevision: base.GetRevision(),
 		Nonce:        config.NewNonce(),
 		Intent:       i,
-		Revision:     step.After.GetRevision(),
-		// What is restored changes against the platform's document.
-		Changes: config.Diff(s.doc, step.After),
-		Effects: config.ComputeEffects(base, step.After, p.state.vmList().GetVms(), p.fleetLoad(ctx)),
+		Revision:     update.After.GetRevision(),
+		// The changes of a restore are those against the platform's document.
+		Changes: config.Diff(s.doc, update.After),
+		Effects: config.ComputeEffects(base, update.After, p.state.vmList().GetVms(), p.fleetLoad(ctx)),
 	}
 	out.Id = config.PlanID(i, out.BaseRevision, out.Nonce)
 	if r := config.CheckEffects(out.Effects, i); r != nil {
@@ -150,9 +151,9 @@
 	return out, nil
 }
 
-// confirm carries out a plan: exactly once, however often it is asked for.
+// confirm applies a plan exactly once, however often the operator confirms it.
 func (p *planner) confirm(ctx context.Context, operator string, c schema.Confirmation) schema.Outcome {
-	// An operator who gives up must not leave the write half followed up.
+	// If the operator disconnects, the entry must still find out whether the write took effect.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), confirmTimeout)
 	defer cancel()
 	out := p.apply(ctx, operator, c)
@@ -167,28 +168,29 @@
 	return out
 }
 
+// apply applies a confirmed plan, unless it has been applied before or must be refused.
 func (p *planner) apply(ctx context.Context, operator string, c schema.Confirmation) schema.Outcome {
 	if r := config.CheckConfirmation(c); r != nil {
 		return refusedOutcome(r)
 	}
 	s, base, refusal := p.loadBase(ctx, c.Intent)
-	// The reply to an earlier confirmation may have been lost.
+	// The operator may not have received the reply to an earlier confirmation.
 	if rec := p.findPlan(s.doc, c.Id); rec != nil {
 		return appliedOutcome(rec, true)
 	}
 	if refusal != nil {
 		return refusedOutcome(refusal)
 	}
-	step, refusal := p.recompute(base, c)
+	update, refusal := p.recompute(base, c)
 	if refusal != nil {
 		return refusedOutcome(refusal)
 	}
-	step.AddToHistory(c.Id, operator, c.Intent, time.Now().UnixMilli())
-	return p.write(ctx, s.keyRevision, step, c)
+	update.AddToHistory(c.Id, operator, c.Intent, time.Now().UnixMilli())
+	return p.write(ctx, s.keyRevision, update, c)
 }
 
-// findPlan looks for an applied plan in the platform's document and in the one in
-// force, which a platform that came back older has lost.
+// findPlan searches for an applied plan in the platform's document and in the one in force. The platform's
+// document may lack the plan if it was restored from an older copy.
 func (p *planner) findPlan(doc *schema.Config, id string) *schema.AppliedPlan {
 	if rec := config.FindPlan(doc, id); rec != nil {
 		return rec
@@ -196,25 +198,25 @@
 	return config.FindPlan(p.state.config().Document(), id)
 }
 
-// step computes the plan again and refuses it if its base moved.
+// recompute computes the plan again. It refuses the plan if the base revision has changed.
 func (p *planner) recompute(base *schema.Config, c schema.Confirmation) (*config.Update, *config.Refusal) {
 	if r := config.CheckBaseRevision(base, c.BaseRevision); r != nil {
 		return nil, r
 	}
-	step, refusal := config.NewUpdate(base, c.Intent)
+	update, refusal := config.NewUpdate(base, c.Intent)
 	if refusal != nil {
 		return nil, refusal
 	}
-	effects := config.ComputeEffects(base, step.After, p.state.vmList().GetVms(), config.FleetLoad{})
-	return step, config.CheckEffects(effects, c.Intent)
+	effects := config.ComputeEffects(base, update.After, p.state.vmList().GetVms(), config.FleetLoad{})
+	return update, config.CheckEffects(effects, c.Intent)
 }
 
-// write writes the document by compare-and-swap. A write without a reply may have
-// taken effect, or may yet. It is sent again with the same expected revision, so at
-// most one of the copies takes effect; a conflict then means that one did, or that
-// another plan did, and the document's history tells which.
-func (p *planner) write(ctx context.Context, keyRevision uint64, step *config.Update, c schema.Confirmation) schema.Outcome {
-	b, err := proto.Marshal(step.After)
+// write writes the document by compare-and-swap. A write without a reply may have taken effect or may
+// still take effect. So write repeats it with the same expected revision: at most one of the copies takes
+// effect. A conflict then means that one of the copies or another plan took effect, and the document's
+// history shows which.
+func (p *planner) write(ctx context.Context, keyRevision uint64, update *config.Update, c schema.Confirmation) schema.Outcome {
+	b, err := proto.Marshal(update.After)
 	if err != nil {
 		return refusedOutcome(&config.Refusal{Reason: config.BadIntent, Message: err.Error()})
 	}
@@ -222,7 +224,7 @@
 	for ctx.Err() == nil {
 		switch err := p.compareAndSwap(ctx, keyRevision, b); {
 		case err == nil:
-			return p.putInForce(step.After, c.Id, replyLost)
+			return p.putInForce(update.After, c.Id, replyLost)
 		case errors.Is(err, platform.ErrConflict):
 			return p.resolveConflict(ctx, c, replyLost)
 		}
@@ -240,7 +242,7 @@
 	return err
 }
 
-// afterConflict tells whose write took effect.
+// resolveConflict determines whose write took effect.
 func (p *planner) resolveConflict(ctx context.Context, c schema.Confirmation, replyLost bool) schema.Outcome {
 	for ctx.Err() == nil {
 		s, refusal := p.read(ctx)
@@ -255,16 +257,16 @@
 		if r := config.CheckBaseRevision(s.doc, c.BaseRevision); r != nil {
 			return refusedOutcome(r)
 		}
-		return refusedOutcome(&config.Refusal{Reason: config.BaseRevisionChanged, Message: "the platform's document changed meanwhile; plan again"})
+		return refusedOutcome(&config.Refusal{Reason: config.BaseRevisionChanged, Message: "the platform's document has changed meanwhile; plan again"})
 	}
 	if replyLost {
 		return unknownOutcome()
 	}
-	return refusedOutcome(&config.Refusal{Reason: config.BaseRevisionChanged, Message: "another plan was applied first; what it changed can't be read now, the platform's service gives no answer; plan again"})
+	return refusedOutcome(&config.Refusal{Reason: config.BaseRevisionChanged, Message: "another plan was applied first; its changes cannot be read now because the platform's service does not answer; plan again"})
 }
 
-// inForce puts the written document in force here at once and tells the peers, so
-// that an entry that is cut off from the platform doesn't wait for a heartbeat.
+// putInForce puts the written document in force at this entry and announces it to the peers at once, so
+// that an entry that cannot reach the platform does not have to wait for the next heartbeat.
 func (p *planner) putInForce(doc *schema.Config, plan string, replyLost bool) schema.Outcome {
 	if p.state.updateConfig(doc) {
 		p.syncer.logConfigInForce(doc, "confirmation")
@@ -272,7 +274,7 @@
 	p.announce()
 	out := appliedOutcome(config.FindPlan(doc, plan), false)
 	if replyLost {
-		out.Message += "; a reply of the platform was lost on the way, the plan was applied once"
+		out.Message += "; a reply of the platform was lost, and the plan was applied once"
 	}
 	return out
 }
--- a/internal/entry/quotas.go
+++ b/internal/entry/quotas.go
@@ -1,3 +1,5 @@
+// Quotas and limits: this entry's shares of teams' quotas and kinds' limits, from the demand that the
+// entries report to each other.
 package entry
 
 import (
@@ -14,12 +16,11 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// demandPeriod is the period of demand: what it brought is told to every peer before
-// the next one ends, for peers of other failure domains get a heartbeat every 2 s.
+// demandPeriod is the period over which demand is measured. The entry reports the demand of a period to
+// every peer before the next period ends: peers in other failure domains get a heartbeat every 2 s.
 const demandPeriod = 2 * time.Second
 
-// quotas holds teams to this entry's share of their quotas, and kinds to its share of
-// their limit.
+// quotas limits teams to this entry's shares of their quotas, and kinds to its shares of their limits.
 type quotas struct {
 	clock      *clock.Clock
 	state      *state
@@ -35,7 +36,7 @@
 	peerDemand map[netip.AddrPort]reportedDemands
 }
 
-// demands is what one peer told.
+// reportedDemands is the demand that one peer reported, by team and by kind.
 type reportedDemands struct {
 	teams map[string]uint32
 	kinds map[string]uint32
@@ -51,8 +52,8 @@
 	}
 }
 
-// take admits a job, or refuses it when its team is over its quota, or when the
-// failure domain was retired after the job's identifier was reserved.
+// admit admits a job. It refuses the job if its team is over its quota, or if the failure domain was retired
+// after the job's identifier was reserved.
 func (q *quotas) admit(team string, tasks int) *verdict.Failure {
 	if f := checkNotRetired(q.state, q.domain); f != nil {
 		q.metrics.countRefusal(f.Reason)
@@ -67,23 +68,23 @@
 	return f
 }
 
-// retired refuses new work in a retired failure domain.
+// checkNotRetired returns a failure if the failure domain is retired.
 func checkNotRetired(s *state, domain string) *verdict.Failure {
 	if !s.config().Retired(domain) {
 		return nil
 	}
 	return verdict.New(verdict.NotRun, verdict.DomainRetired,
-		"failure domain %s is retired; ask an entry of another one", domain).WithRetryAfter(time.Second)
+		"failure domain %s is retired; ask an entry of another failure domain", domain).WithRetryAfter(time.Second)
 }
 
-// refund gives back the starts of a job that was refused for another reason.
+// refund gives back the task starts of an admitted job that was then refused for another reason.
 func (q *quotas) refund(team string, tasks int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.limiter.Refund(team, tasks)
 }
 
-// heard takes in a peer's demand.
+// handleHeartbeat stores a peer's demand.
 func (q *quotas) handleHeartbeat(h *schema.Heartbeat) {
 	a, err := netip.ParseAddrPort(h.GetAddress())
 	if err != nil {
@@ -94,20 +95,21 @@
 	q.peerDemand[a] = reportedDemands{teams: h.GetTeamRates(), kinds: h.GetKindDemand()}
 }
 
-// fill adds this entry's demand to a heartbeat.
+// fillHeartbeat adds this entry's demand to a heartbeat.
 func (q *quotas) fillHeartbeat(h *schema.Heartbeat) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	h.TeamRates, h.KindDemand = reportedDemand(q.teamDemand), reportedDemand(q.kindDemand)
 }
 
-// rates returns the task starts per second that each team asks of this entry.
+// teamRates returns the task starts per second that each team requests from this entry.
 func (q *quotas) teamRates() map[string]uint32 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return reportedDemand(q.teamDemand)
 }
 
+// reportedDemand returns the demand to report, rounded to whole numbers, without zeros.
 func reportedDemand(m map[string]*quota.Demand) map[string]uint32 {
 	out := make(map[string]uint32, len(m))
 	for name, d := range m {
@@ -118,8 +120,8 @@
 	return out
 }
 
-// observe ends a period of demand. Only teams with a quota and kinds with a limit
-// have any: the others' would only add to the heartbeats.
+// endDemandPeriod ends a period of demand. Only teams with a quota and kinds with a limit have demand: that of
+// the others would only make the heartbeats larger.
 func (q *quotas) endDemandPeriod() {
 	doc := q.state.config().Document()
 	running := q.dispatcher.demandByKind()
@@ -148,8 +150,7 @@
 	m[name].Observe(demand)
 }
 
-// update computes the shares again: the configuration, the live peers or a demand
-// may have changed.
+// updateShares computes the shares again, after a change of the configuration, the live peers or the demand.
 func (q *quotas) updateShares() {
 	doc := q.state.config().Document()
 	view, live := q.liveView()
@@ -174,6 +175,7 @@
 	q.dispatcher.step(func(now time.Duration) { q.dispatcher.sched.SetKindLimits(now, limits) })
 }
 
+// ownDemand returns the demand by which this entry computes its own share.
 func ownDemand(d *quota.Demand) float64 {
 	if d == nil {
 		return 0
@@ -181,7 +183,7 @@
 	return d.Delayed()
 }
 
-// view returns the live entries, this one first, without demand.
+// liveView returns the live entries without demand, this one first.
 func (q *quotas) liveView() (v quota.View, live map[netip.AddrPort]bool) {
 	self := q.members.self.Address
 	v = quota.View{Self: self, Domains: q.entryDomains(), Live: []quota.Entry{{Address: self, Domain: q.domain}}}
@@ -197,8 +199,8 @@
 	return v, live
 }
 
-// domains returns the failure domains that should have entries: those of the VM list
-// that are not retired.
+// entryDomains returns the failure domains that should have entries: the domains of the entries in the VM
+// list, without retired ones.
 func (q *quotas) entryDomains() []string {
 	index := q.state.config()
 	var names []string
@@ -212,7 +214,7 @@
 	return names
 }
 
-// with returns the view with the demand of one team or kind. Called under the lock.
+// withDemand returns the view with the demand of one team or kind. The caller holds the lock.
 func (q *quotas) withDemand(v quota.View, own float64, demand func(reportedDemands) uint32) quota.View {
 	v.Live = slices.Clone(v.Live)
 	for i, e := range v.Live {
@@ -225,7 +227,7 @@
 	return v
 }
 
-// forget drops the demand of peers that are no longer alive. Called under the lock.
+// removeUnreachable removes the demand of peers that are no longer alive. The caller holds the lock.
 func (q *quotas) removeUnreachable(live map[netip.AddrPort]bool) {
 	for a := range q.peerDemand {
 		if !live[a] {
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -1,3 +1,5 @@
+// The router: it serves a request for a submission here, if this process owns it or has taken it over,
+// and otherwise forwards the request to the owner.
 package entry
 
 import (
@@ -14,38 +16,38 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// ownerRetryAfter is the advice to callers while an owner can't be reached.
+// ownerRetryAfter is the Retry-After while an owner is unreachable.
 const ownerRetryAfter = time.Second
 
-// call is a caller's request about one submission.
+// callerRequest is a caller's request for one submission.
 type callerRequest struct {
 	method string
 	id     string
 	team   string
 	body   []byte
-	// forwarded is set on the owner's side, so that a request is forwarded only once.
+	// forwarded is set at the receiving entry, so that it does not forward the request again.
 	forwarded bool
 }
 
-// reply is what the caller is answered.
+// reply is the reply to a caller, or to the entry that forwarded the caller's request.
 type reply struct {
 	status     int
 	retryAfter time.Duration
 	body       []byte
-	// gone is set when the asked process is not the one that the identifier names, and
-	// that one left no successor.
+	// wrongIncarnation is set when the identifier names another process at this address, and that process
+	// has no successor.
 	wrongIncarnation bool
-	// successor is set when that one did leave a successor.
+	// successor is set when the process that the identifier names has a successor.
 	successor *schema.Successor
 }
 
-// notRun reports whether the reply says that nothing ran.
+// notRun reports whether the verdict of the reply is NotRun.
 func (r reply) notRun() bool {
 	var a schema.Answer
 	return json.Unmarshal(r.body, &a) == nil && a.Verdict == verdict.NotRun.String()
 }
 
-// router brings a request to the owner of its identifier.
+// router serves a request here or forwards it to the owner of its identifier.
 type router struct {
 	clock       *clock.Clock
 	minter      *submission.Minter
@@ -53,24 +55,24 @@
 	members     *membership
 	client      *peer.Client
 	metrics     *Metrics
-	// predecessors are the stopped processes whose answers are kept here.
+	// predecessors holds the stopped processes whose answers this process has taken over.
 	predecessors *submission.Predecessors
-	// settled is the time after which a new process has heard from every peer who
-	// keeps the answers of its predecessor.
+	// successorsKnownAt is the time on this process's clock at which every peer has certainly told it who
+	// keeps the answers of former processes at its address.
 	successorsKnownAt time.Duration
 }
 
-// serve answers a request, here or at its owner.
+// serve serves a request here or forwards it to the owner.
 func (r *router) serve(ctx context.Context, req callerRequest) reply {
 	id, err := submission.Parse(req.id)
 	if err != nil {
-		return r.refuse(req.id, verdict.New(verdict.NotRun, verdict.IdentifierBad, "the identifier is cut or altered; reserve one with POST /v1/submissions"))
+		return r.refuse(req.id, verdict.New(verdict.NotRun, verdict.IdentifierBad, "the identifier is truncated or altered; reserve one with POST /v1/submissions"))
 	}
 	owner := member.Process{Address: id.Owner, Incarnation: id.Incarnation}
 	if owner == r.members.self {
 		return r.serveOwned(ctx, id, req)
 	}
-	// Answers of a process that stopped may have been handed to this one.
+	// This process may have taken over the answers of a process that stopped.
 	if rec := r.submissions.table.Get(req.id); rec != nil && rec.Team == req.team {
 		return r.serveRecord(ctx, rec, req)
 	}
@@ -83,12 +85,13 @@
 	return r.forward(ctx, owner, id, req)
 }
 
-// inherited answers for a stopped process that handed its answers over to this one. Its
-// table was complete, so within the window nothing ever started without a record.
+// serveTakenOver serves a request for a submission of a stopped process whose answers this process has
+// taken over. The stopped process handed over all of its records. So within the window, a missing record
+// means that nothing started.
 //
-// The table is looked at here, however short ago it was before: the handover may have
-// come in between, or while the request waited for the process that stopped. Its caller
-// would be told "not run" of what has run.
+// The caller of serveTakenOver may have looked up the record shortly before, but the handover may have
+// happened since then, or while the request waited for the process that stopped. Without a second lookup,
+// the caller could be told "not run" about a job that ran.
 func (r *router) serveTakenOver(ctx context.Context, id submission.ID, req callerRequest) reply {
 	if rec := r.submissions.table.Get(req.id); rec != nil && rec.Team == req.team {
 		return r.serveRecord(ctx, rec, req)
@@ -99,10 +102,10 @@
 	return r.refuse(req.id, verdict.New(verdict.MayHaveRun, verdict.IdentifierExpired, "the identifier has expired and its answer, if there was one, is no longer kept"))
 }
 
-// own answers a request about a submission of this process.
+// serveOwned serves a request for a submission of this process.
 func (r *router) serveOwned(ctx context.Context, id submission.ID, req callerRequest) reply {
 	if err := r.minter.Verify(id, req.team); err != nil {
-		return r.refuse(req.id, verdict.New(verdict.NotRun, verdict.IdentifierUnknown, "no such submission of this team; reserve an identifier with POST /v1/submissions"))
+		return r.refuse(req.id, verdict.New(verdict.NotRun, verdict.IdentifierUnknown, "this team has no such submission; reserve an identifier with POST /v1/submissions"))
 	}
 	if req.method == http.MethodPut {
 		rec, kind, failure := r.submissions.put(id, req.team, req.body)
@@ -124,18 +127,19 @@
 	return r.serveRecord(ctx, rec, req)
 }
 
-// unused answers a GET of an identifier without a record. Within the window it is not
-// final: the PUT may still be on its way.
+// replyNoRecord replies to a GET for an identifier without a record. Within the window the reply is not
+// final, because the PUT may still arrive.
 func (r *router) replyNoRecord(id submission.ID, req callerRequest) reply {
 	if r.clock.Now() <= id.MintedAt+r.submissions.window {
 		r.metrics.countRefusal(verdict.IdentifierUnknown)
 		return pendingReply(req.id, http.StatusNotFound, verdict.IdentifierUnknown,
-			"nothing was submitted under this identifier yet; send the job with PUT, or DELETE it so that it never runs")
+			"nothing has been submitted under this identifier yet; send the job with PUT, or DELETE it so that it never runs")
 	}
 	return r.refuse(req.id, verdict.New(verdict.MayHaveRun, verdict.IdentifierExpired, "the identifier has expired and its answer, if there was one, is no longer kept"))
 }
 
-// answer serves a request about a record: a GET at once, PUT and DELETE once it has ended.
+// serveRecord serves a request for a record. It replies to a GET at once, and to a PUT or DELETE when the
+// submission has ended.
 func (r *router) serveRecord(ctx context.Context, rec *submission.Record, req callerRequest) reply {
 	switch req.method {
 	case http.MethodDelete:
@@ -155,7 +159,7 @@
 	}
 }
 
-// await waits for the ending. When the caller leaves, the submission goes on.
+// awaitReply waits for the final response. If the caller disconnects, the submission continues.
 func (r *router) awaitReply(ctx context.Context, rec *submission.Record) reply {
 	resp, ok := r.submissions.wait(ctx, rec)
 	if !ok {
@@ -168,14 +172,14 @@
 	return reply{status: resp.Status, retryAfter: resp.RetryAfter, body: resp.Body}
 }
 
-// pending returns a reply that is not final.
+// pendingReply returns a reply that is not final, with the default Retry-After.
 func pendingReply(id string, status int, reason verdict.Reason, message string) reply {
 	return pendingReplyAfter(id, status, reason, message, ownerRetryAfter)
 }
 
-// pendingUntil is pending with the time after which to ask again.
+// pendingReplyAfter returns a reply that is not final, with the given Retry-After.
 func pendingReplyAfter(id string, status int, reason verdict.Reason, message string, after time.Duration) reply {
-	body, _ := json.Marshal(schema.Answer{ // plain strings always encode
+	body, _ := json.Marshal(schema.Answer{ // encoding plain strings cannot fail
 		Id:           id,
 		Outcome:      outcomePending,
 		Reason:       string(reason),
@@ -185,12 +189,12 @@
 	return reply{status: status, retryAfter: after, body: body}
 }
 
-// refuse answers with a failure.
+// refuse returns the reply for a failure.
 func (r *router) refuse(id string, f *verdict.Failure) reply { return r.refuseWithKind(id, f, nil) }
 
-// refuseKind answers with a failure of a request of a kind, nil when it is unknown.
-// AnswersFull leaves no record, so it is not final: a copy of the request may be
-// accepted once there is room.
+// refuseWithKind returns the reply for a failure of a request whose kind may be known (else nil). The
+// reply for AnswersFull is not final: no record was created, so a copy of the request may be accepted
+// once answers have expired.
 func (r *router) refuseWithKind(id string, f *verdict.Failure, kind *schema.Kind) reply {
 	r.metrics.countRefusal(f.Reason)
 	if f.Reason == verdict.AnswersFull {
@@ -200,8 +204,8 @@
 	return reply{status: resp.Status, retryAfter: resp.RetryAfter, body: resp.Body}
 }
 
-// unasked answers a request about a submission whose owner was not asked. An earlier
-// request may be running there: "not run" would make its caller submit it again.
+// refuseUnrouted refuses a request for a submission without asking its owner. An earlier request may be
+// running there, so the verdict must not be NotRun: the caller would submit the job again.
 func (r *router) refuseUnrouted(id string, f *verdict.Failure) reply {
 	if httpStatus(f) == http.StatusServiceUnavailable {
 		r.metrics.countRefusal(f.Reason)
@@ -212,8 +216,8 @@
 	return r.refuse(id, &mayHaveRun)
 }
 
-// oversized answers a PUT whose body is too large to be passed on: with what its owner
-// has under the identifier, or with the refusal when that is nothing.
+// serveOversized serves a PUT whose body is too large to forward. It returns the owner's reply to a GET,
+// or the refusal if nothing was submitted under the identifier or nothing ran.
 func (r *router) serveOversized(ctx context.Context, req callerRequest, f *verdict.Failure) reply {
 	req.method = http.MethodGet
 	ownerReply := r.serve(ctx, req)
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -1,3 +1,4 @@
+// Life cycle: listening sockets, background loops, and closing. stop.go has the planned stop.
 package entry
 
 import (
@@ -14,22 +15,22 @@
 	"github.com/lavendercleat/lavendercleat/internal/peer"
 )
 
-// maxHeaderBytes bounds the header of a request.
+// maxHeaderBytes bounds the header of a request, in bytes.
 const maxHeaderBytes = 16 << 10
 
-// httpLimits bound what one connection may cost.
+// httpLimits bounds what one connection may use.
 type httpLimits struct {
-	// readHeader and read bound the time in which a request's header, and the whole
-	// request, must have arrived.
+	// readHeader bounds the time until the header of a request has arrived, read the time until the whole
+	// request has arrived.
 	readHeader time.Duration
 	read       time.Duration
-	// write bounds the time in which the caller must have taken its answer.
+	// write bounds the time in which the caller must read its reply.
 	write       time.Duration
 	idle        time.Duration
 	headerBytes int
 }
 
-// defaultLimits suit callers on mobile networks.
+// defaultHTTPLimits suit callers on mobile networks.
 var defaultHTTPLimits = httpLimits{
 	readHeader:  5 * time.Second,
 	read:        30 * time.Second,
@@ -38,7 +39,7 @@
 	headerBytes: maxHeaderBytes,
 }
 
-// servers are the entry's listening sockets.
+// servers holds the entry's listening sockets.
 type servers struct {
 	cred   peer.Credentials
 	limits httpLimits
@@ -51,7 +52,7 @@
 	metrics    netip.AddrPort
 }
 
-// Start opens the sockets and starts the background work.
+// Start opens the listening sockets and starts the background loops.
 func (e *Entry) Start(context.Context) error {
 	handler := &deferredHandler{ready: make(chan struct{})}
 	server, err := peer.Listen(listenAddress(e.settings), e.servers.cred, handler)
@@ -111,7 +112,7 @@
 	return l.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
-// background starts the loops that run until the entry stops.
+// startBackground starts the loops that run until the entry stops.
 func (e *Entry) startBackground() {
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
@@ -125,7 +126,7 @@
 	e.wg.Go(func() { runEvery(ctx, peerIdleTimeout, func() { e.peerClient.CloseIdle(peerIdleTimeout) }) })
 }
 
-// every calls fn at an interval until the context ends.
+// runEvery calls fn at an interval until the context ends.
 func runEvery(ctx context.Context, interval time.Duration, fn func()) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
@@ -161,14 +162,14 @@
 // PeerListenAddress returns the address on which the entry listens for peers.
 func (e *Entry) PeerListenAddress() netip.AddrPort { return e.servers.peer.Address() }
 
-// Abort breaks everything off at once, as when the process dies: callers get no
-// answer and nothing is handed over. It is meant for experiments.
+// Abort stops everything at once, as if the process had died: callers get no reply, and no answers are
+// handed over. It is for experiments.
 func (e *Entry) Abort() error {
 	e.workers.dispatcher.halt()
 	return e.close()
 }
 
-// close cuts off callers and peers at once and waits for the background loops.
+// close closes all connections at once and waits for the background loops.
 func (e *Entry) close() error {
 	if e.cancel != nil {
 		e.cancel()
--- a/internal/entry/seed.go
+++ b/internal/entry/seed.go
@@ -1,3 +1,4 @@
+// Writing of a first configuration document, for development and tests.
 package entry
 
 import (
@@ -10,8 +11,8 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// SeedConfig writes a first configuration document to a stand-in platform, for dev,
-// experiments and tests. It fails on an invalid document and when there is one already.
+// SeedConfig writes a first configuration document to a stand-in platform, for the dev command, experiments
+// and tests. It fails if the document is invalid or if the platform already has one.
 func SeedConfig(ctx context.Context, platformURL string, doc *schema.Config) error {
 	if err := config.Validate(doc); err != nil {
 		return err
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -1,3 +1,4 @@
+// Checks of the entry's settings.
 package entry
 
 import (
@@ -16,18 +17,19 @@
 	// minAnswerBytes and maxAnswerBytes bound --answer-bytes.
 	minAnswerBytes = 1 << 20
 	maxAnswerBytes = 64 << 30
-	// maxDomainName bounds the length of a failure domain's name.
+	// maxDomainName bounds the length of the name of a failure domain.
 	maxDomainName = 64
 )
 
-// durationBounds are the accepted values of one duration setting.
+// durationBounds holds the accepted values of a duration setting.
 type durationBounds struct {
 	flag      string
 	value     time.Duration
 	low, high time.Duration
 }
 
-// CheckSettings returns an error that names the flag and the accepted values.
+// CheckSettings returns an error for the first setting that is not accepted. The error names the flag, its
+// value and the accepted values.
 func CheckSettings(c schema.EntrySettings) error {
 	for _, check := range []func(schema.EntrySettings) error{
 		checkDomain, checkAddresses, checkPlatformURL, checkOperators, checkBounds,
@@ -39,7 +41,7 @@
 	return nil
 }
 
-// checkDomain keeps separators out of the name: racks are named "domain/rack".
+// checkDomain rejects separators in the name, because racks are named "domain/rack".
 func checkDomain(c schema.EntrySettings) error {
 	invalid := strings.ContainsFunc(c.Domain, func(r rune) bool {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
@@ -61,8 +63,8 @@
 			return errors.Newf("--%s is empty; accepted are IP:port", flag)
 		}
 	}
-	// The peer address is part of identifiers: peers connect to it, so it has to be
-	// one machine's, written in the one way that compares equal everywhere.
+	// The peer address is part of identifiers, and peers connect to it. So it must be the address of one
+	// machine, in the only form that compares equal at all entries.
 	if !dialable(c.PeerAddress) {
 		return errors.Newf("--peer-address is %s; accepted is the IP:port at which peers reach this entry, not an unspecified, multicast or zoned address", c.PeerAddress)
 	}
@@ -77,7 +79,7 @@
 	return nil
 }
 
-// dialable reports whether the address can be one machine's.
+// dialable reports whether the address can be that of one machine.
 func dialable(a netip.AddrPort) bool {
 	ip := a.Addr()
 	return a.IsValid() && !ip.IsUnspecified() && !ip.IsMulticast() && ip.Zone() == "" && !ip.Is4In6()
@@ -104,7 +106,7 @@
 			return errors.Newf("--operators has %q; accepted are name:hash with the token's SHA-256 in 64 lower-case hexadecimal digits, separated by commas", o)
 		}
 		if seen[name] || seen[hash] {
-			return errors.Newf("--operators has the name or hash of %q twice; accepted is each once", name)
+			return errors.Newf("--operators has the name or hash of %q more than once; accepted is each once", name)
 		}
 		seen[name], seen[hash] = true, true
 	}
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -1,3 +1,4 @@
+// The configuration and the VM list that are in force at this entry.
 package entry
 
 import (
@@ -7,7 +8,7 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// state is the configuration and the VM list in force. Both only move forward.
+// state holds the configuration and the VM list in force. It replaces either only by a newer one.
 type state struct {
 	mu       sync.RWMutex
 	index    *config.Index
@@ -19,7 +20,7 @@
 	return &state{index: config.NewIndex(&schema.Config{}), vms: &schema.VmList{}}
 }
 
-// subscribe calls fn after each change.
+// subscribe registers fn to be called after each change.
 func (s *state) subscribe(fn func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,15 +34,15 @@
 	return s.index
 }
 
-// vmList returns the newest VM list seen.
+// vmList returns the newest VM list that this entry has received.
 func (s *state) vmList() *schema.VmList {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.vms
 }
 
-// offerConfig puts a document in force if it is newer. A lower revision is never
-// taken: a store or a peer that comes back older would undo what was accepted.
+// updateConfig puts a document in force if it is newer, and reports whether it was. It never accepts a lower
+// revision: a platform or peer that was restored from an older copy would revert confirmed changes.
 func (s *state) updateConfig(c *schema.Config) bool {
 	s.mu.Lock()
 	newer := c.GetRevision() > s.index.Revision()
@@ -55,7 +56,7 @@
 	return newer
 }
 
-// offerVMs takes a VM list if it is newer.
+// updateVMs stores a VM list if it is newer, and reports whether it was.
 func (s *state) updateVMs(l *schema.VmList) bool {
 	s.mu.Lock()
 	newer := l.GetVersion() > s.vms.GetVersion()
@@ -78,7 +79,7 @@
 	}
 }
 
-// lacks says what is missing before work can be taken; empty when nothing is.
+// missing returns what this entry still needs before it can run jobs, or "" if nothing is missing.
 func (s *state) missing() string {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -1,3 +1,4 @@
+// The HTTP status of a failure.
 package entry
 
 import (
@@ -6,7 +7,7 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// statuses gives the HTTP status of the reasons that have one of their own.
+// reasonStatuses holds the HTTP status of the reasons that have their own.
 var reasonStatuses = map[verdict.Reason]int{
 	verdict.BadRequest:        http.StatusBadRequest,
 	verdict.IdentifierBad:     http.StatusBadRequest,
@@ -26,8 +27,8 @@
 	verdict.OverQuota:         http.StatusTooManyRequests,
 }
 
-// statusOf returns the HTTP status of a failure: 4xx when the request is at fault,
-// 503 when it did not run, 504 when time ran out and 502 otherwise.
+// httpStatus returns the HTTP status of a failure: 4xx if the request is invalid, 503 if nothing ran, 504
+// if a time-out passed, and 502 otherwise.
 func httpStatus(f *verdict.Failure) int {
 	if status, ok := reasonStatuses[f.Reason]; ok {
 		return status
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -1,3 +1,4 @@
+// The planned stop of an entry: finishing jobs, handing over answers and finishing requests.
 package entry
 
 import (
@@ -13,29 +14,29 @@
 )
 
 const (
-	// stopPoll is how often a stopping entry looks whether its work is done.
+	// stopPollInterval is the time between a stopping entry's checks whether its work is done.
 	stopPollInterval = 10 * time.Millisecond
-	// finishTimeout bounds each step that is left to do once the stop has timed out:
-	// handing over, and telling waiting callers.
+	// finishTimeout bounds each step that remains after the stop time-out: the handover, and the replies to
+	// waiting callers.
 	finishTimeout = 3 * time.Second
-	// flushTime is left to send the last replies' bytes.
+	// flushTimeout bounds the time for sending the last replies.
 	flushTimeout = 500 * time.Millisecond
 )
 
 // Stop stops the entry gracefully, in this order:
 //
-//  1. Readiness goes off. Requests that still arrive within the stop delay are served:
-//     the balancer has not noticed yet.
-//  2. No job is started any more, under any identifier; those in flight are finished.
-//     As soon as none of their tasks waits for a slot, the peers get the slots.
-//  3. The ended answers go to a successor, and the peers are told who that is.
-//  4. What is still being answered to callers and peers is finished.
+//  1. The entry reports that it is not ready. It still serves requests that arrive within the stop delay,
+//     because the load balancer has not noticed yet.
+//  2. The entry starts no jobs any more, under any identifier, and finishes those in flight. As soon as none
+//     of their tasks waits for a slot, the peers get its slots.
+//  3. The entry hands its answers over to a successor, and announces the successor to the peers.
+//  4. The entry finishes the requests of callers and peers that are in progress.
 //
-// After the stop timeout, jobs that still run end with a failure, which their callers
-// are told before the process ends.
+// After the stop time-out, jobs that still run end with a failure. Their callers get it before the process
+// ends.
 func (e *Entry) Stop(ctx context.Context) error {
 	e.stopping.Store(true)
-	e.log.WithField("event", "stopping").Info("planned stop")
+	e.log.WithField("event", "stopping").Info("planned stop begins")
 	clock.Sleep(ctx, e.settings.StopDelay)
 	e.sealed.Store(true)
 	e.router.submissions.table.Seal()
@@ -49,31 +50,31 @@
 	return err
 }
 
-// finishJobs waits for the jobs in flight, and ends them once stopCtx, which bounds the
-// stop, is over; ctx outlasts it, so that the callers still get their failures. It
-// returns whether every submission has ended; otherwise nothing may be handed over, for
-// a successor says of those it has no answer of that they never started.
+// finishJobs waits for the jobs in flight, and ends them when stopCtx ends, which bounds the stop. ctx lasts
+// longer, so that the callers still get their failures. finishJobs returns whether every submission has
+// ended. Otherwise nothing may be handed over: a successor would report that a submission without an answer
+// never started.
 func (e *Entry) finishJobs(ctx, stopCtx context.Context) bool {
 	d := e.router.submissions.dispatcher
 	running := e.router.submissions.table.Running
-	// The slots are kept while tasks wait for them: given back at once, the jobs in
-	// flight could not be finished.
+	// The entry keeps its slots while tasks wait for them. Without the slots, the jobs in flight could not be
+	// finished.
 	pollUntil(stopCtx, func() bool { return d.load().Waiting == 0 })
 	e.members.releaseSlots(ctx)
 	if pollUntil(stopCtx, func() bool { return running() == 0 }) {
 		return true
 	}
-	e.log.WithFields(logrus.Fields{"event": "stop_timeout", "jobs": running()}).Warn("jobs in flight are broken off")
+	e.log.WithFields(logrus.Fields{"event": "stop_timeout", "jobs": running()}).Warn("stop time-out: ending the jobs in flight")
 	finishCtx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
 	return pollUntil(finishCtx, func() bool {
-		d.stopJobs() // also a job whose request was accepted only just before
+		d.stopJobs() // repeated, because a job may have been accepted only just before
 		return running() == 0
 	})
 }
 
-// handOver hands the answers over. A lone entry serves them until the stop times out,
-// or ends at once when it has none; with a successor this takes milliseconds.
+// handOver hands the answers over, which takes milliseconds if there is a successor. Without a peer, the
+// entry serves the answers until the stop time-out, or returns at once if it has none.
 func (e *Entry) handOver(ctx, stopCtx context.Context) {
 	for first := true; ; first = false {
 		attemptCtx, cancel := context.WithTimeout(ctx, finishTimeout)
@@ -84,23 +85,23 @@
 		}
 		if first {
 			e.log.WithFields(logrus.Fields{"event": "no_successor", "answers": e.router.submissions.table.Len()}).
-				Warn("no entry takes the answers; they are served here until the stop times out")
+				Warn("no entry accepts the answers; serving them here until the stop time-out")
 		}
 		if !clock.Sleep(stopCtx, handoverRetryPause) {
 			e.log.WithFields(logrus.Fields{"event": "answers_lost", "answers": e.router.submissions.table.Len()}).
-				Warn("no entry took the answers; they end with this process")
+				Warn("no entry accepted the answers; they are lost when this process ends")
 			return
 		}
 	}
 }
 
-// nothingToKeep reports whether no caller can come back for an answer and no peer is there
-// to be told so.
+// nothingToHandOver reports whether there is no answer that a caller could request, and no peer that should
+// know so.
 func (e *Entry) nothingToHandOver() bool {
 	return e.router.submissions.table.Len() == 0 && len(e.members.successorCandidates()) == 0
 }
 
-// leave finishes what is being answered and closes everything.
+// finishAndClose finishes the requests in progress and closes everything.
 func (e *Entry) finishAndClose(ctx context.Context) error {
 	finishCtx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
@@ -109,18 +110,19 @@
 	return errors.CombineErrors(err, e.close())
 }
 
-// finishRequests takes no further callers' requests and waits for those in progress.
+// finishRequests accepts no further requests of callers and waits for those in progress.
 func (e *Entry) finishRequests(ctx context.Context) {
 	flushed := make(chan struct{})
 	go func() {
 		defer close(flushed)
-		// net/http also waits for connections that never carried a request, so its end
-		// alone would hold up the stop for seconds.
-		_ = e.servers.callerHTTP.Stop(ctx) // it fails only by the context's end
+		// net/http also waits for connections that never carried a request. To wait for its return alone would
+		// delay the stop for seconds.
+		_ = e.servers.callerHTTP.Stop(ctx) // the only error is the end of the context
 	}()
 	if !pollUntil(ctx, func() bool { return e.inFlight.Load() == 0 }) {
-		// What still waits is owned by other entries; its callers are told to ask again.
-		e.log.WithFields(logrus.Fields{"event": "requests_sent_away", "requests": e.inFlight.Load()}).Warn("callers are told to ask another entry")
+		// The remaining requests wait for other entries, which own their submissions. Their callers are told to
+		// ask again.
+		e.log.WithFields(logrus.Fields{"event": "requests_sent_away", "requests": e.inFlight.Load()}).Warn("telling the callers of the remaining requests to ask another entry")
 		e.cancelRequests()
 	}
 	select {
@@ -129,7 +131,7 @@
 	}
 }
 
-// pollUntil waits for a condition and returns false when the context ends first.
+// pollUntil waits until done returns true, and returns false if the context ends first.
 func pollUntil(ctx context.Context, done func() bool) bool {
 	for !done() {
 		if !clock.Sleep(ctx, stopPollInterval) {
@@ -139,10 +141,10 @@
 	return true
 }
 
-// trackRequests counts callers' requests in flight. Once the entry is stopping it answers
-// with "Connection: close": a caller's next request then comes on a new connection, which
-// the balancer directs to another entry. Closing the connections instead would cut off the
-// requests just being sent on them.
+// trackRequests counts the callers' requests in progress. While the entry is stopping, replies have the
+// header "Connection: close". A caller's next request then needs a new connection, which the load balancer
+// directs to another entry. If the entry closed the connections instead, requests that are being sent on
+// them would be cut off.
 func (e *Entry) trackRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.stopping.Load() {
@@ -154,8 +156,8 @@
 	})
 }
 
-// refusesNew returns why callers' new work is refused, nil when it is not. An entry that
-// is not ready because it stops still serves during the stop delay.
+// checkAcceptsWork returns the reason why new work of callers is refused, or nil if it is accepted. During
+// the stop delay, a stopping entry is not ready but still accepts work.
 func (e *Entry) checkAcceptsWork() *verdict.Failure {
 	if e.sealed.Load() {
 		return verdict.New(verdict.NotRun, verdict.Stopping, "this entry is stopping; ask another").WithRetryAfter(time.Second)
--- a/internal/entry/submissions.go
+++ b/internal/entry/submissions.go
@@ -1,3 +1,4 @@
+// The submissions that this process owns: start, cancellation, and the one final response of each.
 package entry
 
 import (
@@ -15,11 +16,11 @@
 	"github.com/lavendercleat/lavendercleat/verdict"
 )
 
-// Outcomes of an answer.
+// Values of the outcome field of an answer.
 const (
 	outcomeComplete = "complete"
 	outcomeFailed   = "failed"
-	// outcomePending is not final: the submission may still end either way.
+	// outcomePending is not final: the submission may still complete or fail.
 	outcomePending = "pending"
 )
 
@@ -33,14 +34,14 @@
 	dispatcher *dispatcher
 	quotas     *quotas
 	metrics    *Metrics
-	// window is the time within which a reserved identifier must be used first.
+	// window is the time after minting within which an identifier must first be used.
 	window time.Duration
-	// settle returns the time after an identifier's minting after which its owner
-	// neither starts its job nor tells an answer of it.
+	// identifierLifetime returns the time after the minting of an identifier after which its owner neither
+	// starts the job nor reports an answer.
 	identifierLifetime func() time.Duration
 
 	mu sync.Mutex
-	// running maps a running submission to its job.
+	// running holds the job of each running submission, by identifier.
 	running map[string]sched.JobKey
 }
 
@@ -64,19 +65,19 @@
 	}
 }
 
-// digest identifies a request's body.
+// digest returns the digest by which requests are compared.
 func digest(body []byte) submission.Digest { return sha256.Sum256(body) }
 
-// put starts the job of a verified identifier, or joins it, and returns its record.
-// A refusal comes with the kind of the job where it is known.
+// put returns the record of a verified identifier. The first request under the identifier starts the job.
+// put also returns the job's kind if it is known.
 func (s *submissions) put(id submission.ID, team string, body []byte) (*submission.Record, *schema.Kind, *verdict.Failure) {
 	r, first, failure := s.table.Begin(id, team, digest(body), s.clock.Now())
 	if failure != nil || !first {
 		return r, nil, failure
 	}
-	// The record comes before the checks: a refusal is an ending too. Without it a late
-	// copy of the request could be accepted after a change of the configuration, and
-	// run although its caller heard "not run".
+	// The record is created before the checks, because a refusal is final too. Without the record, a delayed
+	// copy of the request could be accepted after a change of the configuration. The job would then run
+	// although its caller was told "not run".
 	job, kind, failure := checkJob(s.state.config(), body)
 	if failure != nil {
 		s.finishBadRequest(r, kind, failure)
@@ -88,15 +89,15 @@
 	return r, kind, nil
 }
 
-// start hands the job to the dispatcher.
+// start submits the job to the dispatcher.
 func (s *submissions) start(r *submission.Record, team string, j *schema.Job, kind *schema.Kind) *verdict.Failure {
 	u, _ := jobUrgency(j.Urgency, kind)
 	wait := j.DeadlineMs
 	if wait == 0 {
 		wait = int64(kind.GetDeadlineMs())
 	}
-	// A request that waited unread while this process was frozen has its time from
-	// then: counted from now, it would start after its caller gave up.
+	// If a request waited unread while this process was paused, its deadline counts from the earliest time at
+	// which it may have arrived. If it counted from now, the job could start after its caller gave up.
 	deadline := s.pauses.EarliestArrival(s.clock.Now()) + time.Duration(wait)*time.Millisecond
 	run := &jobRun{
 		submissionID: r.ID,
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// track remembers the job of a running submission, unless it has ended already.
+// trackRunning stores the job of a submission that has not ended yet.
 func (s *submissions) trackRunning(r *submission.Record, key sched.JobKey) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +142,7 @@
 	}
 }
 
-// end gives the submission its one ending.
+// finish ends a submission with its results or its failure.
 func (s *submissions) finish(r *submission.Record, kind *schema.Kind, results []json.RawMessage, f *verdict.Failure) {
 	if f != nil {
 		s.recordResponse(r, failureResponse(r.ID, kind, f))
@@ -156,8 +157,8 @@
 	s.recordResponse(r, submission.Response{Status: http.StatusOK, Body: body})
 }
 
-// refuse ends a submission whose request was at fault; a corrected request may come
-// under the same identifier.
+// finishBadRequest ends a submission whose request is invalid. A corrected request may follow under the
+// same identifier.
 func (s *submissions) finishBadRequest(r *submission.Record, kind *schema.Kind, f *verdict.Failure) {
 	s.metrics.countRefusal(f.Reason)
 	resp := failureResponse(r.ID, kind, f)
@@ -165,9 +166,9 @@
 	s.recordResponse(r, resp)
 }
 
-// close records an ending. A process that was frozen for very long ends its jobs on
-// waking, when its peers already tell their callers that it is gone for good: it must
-// say the same.
+// recordResponse ends a record with its final response. A process that was paused for longer than the
+// lifetime of the identifier ends its jobs when it resumes. By then its peers report to their callers
+// that it is gone, so it must give the same response.
 func (s *submissions) recordResponse(r *submission.Record, resp submission.Response) {
 	if s.clock.Now() > r.MintedAt()+s.identifierLifetime() {
 		resp = failureResponse(r.ID, nil, ownerGoneFailure())
@@ -178,19 +179,19 @@
 	s.table.End(r, resp, s.clock.Now())
 }
 
-// failedEnding returns the ending that tells of a failure.
+// failureResponse returns the final response for a failure.
 func failureResponse(id string, kind *schema.Kind, f *verdict.Failure) submission.Response {
 	f = withRetryAfter(f)
 	body, _ := json.Marshal(failureAnswer(id, f, kind.GetIdempotent())) // plain strings always encode
 	return submission.Response{Status: httpStatus(f), Body: body, RetryAfter: f.RetryAfter}
 }
 
-// failureRetryAfter is when a caller should come back after a failure that names no
-// better time: refused starts and lost connections have mostly passed by then.
+// defaultRetryAfter is the Retry-After of a failure that sets none. By then, refused starts and lost
+// connections have usually passed.
 const defaultRetryAfter = time.Second
 
-// advised returns the failure with the time to come back, unless the request itself
-// was at fault and would be refused again.
+// withRetryAfter returns the failure with a Retry-After, unless the request itself is invalid and would
+// be refused again.
 func withRetryAfter(f *verdict.Failure) *verdict.Failure {
 	if f.RetryAfter > 0 || httpStatus(f) < http.StatusInternalServerError {
 		return f
@@ -198,7 +199,7 @@
 	return f.WithRetryAfter(defaultRetryAfter)
 }
 
-// failedAnswer returns the answer that tells of a failure.
+// failureAnswer returns the answer for a failure.
 func failureAnswer(id string, f *verdict.Failure, idempotent bool) schema.Answer {
 	return schema.Answer{
 		Id:           id,
@@ -211,7 +212,7 @@
 	}
 }
 
-// cancel ends a running submission for its caller.
+// cancel cancels a running submission at its caller's request.
 func (s *submissions) cancel(id string) {
 	s.mu.Lock()
 	key, ok := s.running[id]
@@ -221,16 +222,17 @@
 	}
 }
 
-// cancelEarly ends a submission whose request has not come yet, or finds its record.
+// cancelBeforeRequest returns the record of an identifier. If there is none, it creates one for the
+// cancellation, so that a request that arrives later does not start the job.
 func (s *submissions) cancelBeforeRequest(id submission.ID, team string) (*submission.Record, *verdict.Failure) {
 	r, first, failure := s.table.BeginCancel(id, team, s.clock.Now())
 	if first {
-		s.finish(r, nil, nil, verdict.New(verdict.NotRun, verdict.Canceled, "canceled by the caller before the job came"))
+		s.finish(r, nil, nil, verdict.New(verdict.NotRun, verdict.Canceled, "canceled by the caller before the job arrived"))
 	}
 	return r, failure
 }
 
-// wait waits for the ending of a submission.
+// wait returns the final response of a submission, or false if the context ends first.
 func (s *submissions) wait(ctx context.Context, r *submission.Record) (submission.Response, bool) {
 	select {
 	case <-r.Done():
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -1,3 +1,5 @@
+// Synchronization of the configuration and the VM list: from the platform's service, and from peers that
+// have newer ones.
 package entry
 
 import (
@@ -22,11 +24,10 @@
 // ConfigKey is the key of the configuration document in the platform's service.
 const ConfigKey = "lavendercleat-config"
 
-// fetchTimeout bounds one request for a peer's state.
+// fetchTimeout bounds one request for a peer's configuration and VM list.
 const fetchTimeout = 2 * time.Second
 
-// syncer keeps the state fresh: by watches on the platform's service, and from
-// peers that have something newer.
+// syncer keeps the state up to date. It watches the platform's service, and fetches what a peer has newer.
 type syncer struct {
 	state    *state
 	platform *platform.Client
@@ -34,33 +35,33 @@
 	clock    *clock.Clock
 	log      logrus.FieldLogger
 	metrics  *Metrics
-	// watchWait is the longest wait of one watch.
+	// watchWait is the maximum wait of one watch.
 	watchWait time.Duration
-	// fetching is set while a peer is asked, so that the heartbeats of many peers with
-	// the same news cause one transfer.
+	// fetching is set during a request to a peer. So when many peers report the same newer revision in their
+	// heartbeats, this entry fetches it once.
 	fetching atomic.Bool
 
 	mu       sync.Mutex
 	lastSeen platformView
 }
 
-// platformView is what the last calls of the platform's service showed.
+// platformView is the result of the last calls of the platform's service.
 type platformView struct {
-	// doc is the document last read; empty when there was none, nil before the first
-	// answer.
+	// doc is the document that was last read. It is empty if there was none, and nil before the first answer
+	// and when the document cannot be decoded.
 	doc *schema.Config
-	// ignored says why that document is not obeyed; empty when it is.
+	// ignoredReason is why that document is not in force, or "" if it is.
 	ignoredReason string
-	// failing holds since when each kind of call has failed.
+	// failingSince holds the time since which each kind of call has failed.
 	failingSince map[string]time.Duration
 }
 
-// watch calls once again and again until the context ends; once makes one watch and
-// tells whether it brought news.
+// watchRepeatedly calls watchOnce again and again until the context ends. watchOnce makes one watch and
+// returns whether there was a change.
 func (s *syncer) watchRepeatedly(ctx context.Context, call string, watchOnce func() (changed bool, err error)) {
 	backoff := newWatchBackoff()
 	for ctx.Err() == nil {
-		begin := time.Now()
+		start := time.Now()
 		changed, err := watchOnce()
 		switch {
 		case err == nil:
@@ -68,28 +69,28 @@
 		case ctx.Err() == nil:
 			s.handleFailure(call, err)
 		}
-		clock.Sleep(ctx, backoff.next(changed, err == nil && time.Since(begin) >= s.watchWait/2))
+		clock.Sleep(ctx, backoff.next(changed, err == nil && time.Since(start) >= s.watchWait/2))
 	}
 }
 
-// failed notes a watch that failed. A stretch of failures is one event.
+// handleFailure records a watch that failed. It logs only the first of several failures in a row.
 func (s *syncer) handleFailure(call string, err error) {
 	s.metrics.count("platform_failures", "call", call)
 	s.mu.Lock()
 	if s.lastSeen.failingSince == nil {
 		s.lastSeen.failingSince = make(map[string]time.Duration)
 	}
-	_, known := s.lastSeen.failingSince[call]
-	if !known {
+	_, reported := s.lastSeen.failingSince[call]
+	if !reported {
 		s.lastSeen.failingSince[call] = s.clock.Now()
 	}
 	s.mu.Unlock()
-	if !known {
+	if !reported {
 		s.log.WithFields(logrus.Fields{"event": "platform_unavailable", "call": call}).WithError(err).Warn("platform unavailable")
 	}
 }
 
-// answered notes a call that was answered.
+// handleAnswer records a watch that was answered.
 func (s *syncer) handleAnswer(call string) {
 	s.mu.Lock()
 	since, failing := s.lastSeen.failingSince[call]
@@ -102,9 +103,9 @@
 
 // watchConfig follows the configuration document until the context ends.
 //
-// After a failed call the key is read afresh instead of waited for: a platform that
-// came back from an old copy counts its writes again, so the revision waited for may
-// by then stand for another document.
+// After a failed call it reads the key instead of waiting for a change. A platform that was restored from an
+// older copy counts the writes from that copy on, so the revision that was waited for may now belong to
+// another document.
 func (s *syncer) watchConfig(ctx context.Context) {
 	var revision uint64
 	reread := true
@@ -125,8 +126,8 @@
 	})
 }
 
-// nextConfig reads the key, or waits until its revision differs. A key without a
-// value has revision 0.
+// readConfig reads the key, or waits until its revision differs from the given one. A key without a value
+// has revision 0.
 func (s *syncer) readConfig(ctx context.Context, revision uint64, reread bool) (v platform.Value, changed bool, err error) {
 	if reread {
 		v, err = s.platform.Get(ctx, ConfigKey)
@@ -139,7 +140,7 @@
 	return v, changed, err
 }
 
-// takeConfig puts a document from the platform in force if it is newer.
+// applyConfig puts a document of the platform in force if it is newer.
 func (s *syncer) applyConfig(b []byte) {
 	c := new(schema.Config)
 	if err := proto.Unmarshal(b, c); err != nil {
@@ -156,10 +157,9 @@
 	s.lastSeen.doc = c
 }
 
-// compare reports a platform whose document is not the one in force. The revision
-// that was in force before the read is what the platform must have held: while the
-// answer was under way a peer may have brought a newer one. Then the key has to be
-// read again, which compare tells.
+// checkPlatformDocument reports a platform document that is not the one in force. The document must have at
+// least the revision that was in force before it was read. If it has, but a peer has brought a newer
+// revision during the read, checkPlatformDocument returns true: the key must be read again.
 func (s *syncer) checkPlatformDocument(before uint64) (readAgain bool) {
 	inForce := s.state.config().Document()
 	s.mu.Lock()
@@ -167,13 +167,13 @@
 	s.mu.Unlock()
 	switch {
 	case doc == nil:
-		s.reportIgnored(nil, "unreadable", "the platform's document can't be decoded")
+		s.reportIgnored(nil, "unreadable", "the platform's document cannot be decoded")
 	case doc.GetRevision() < before:
 		s.reportIgnored(doc, "older", "the platform's document is older than the one in force")
 	case doc.GetRevision() < inForce.GetRevision():
 		return true
 	case config.Diverged(doc, inForce):
-		s.reportIgnored(doc, "forked", "the platform's document has the revision in force but another content")
+		s.reportIgnored(doc, "forked", "the platform's document has the same revision as the one in force but other content")
 	default:
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -182,9 +182,9 @@
 	return false
 }
 
-// ignore reports once a document of the platform that is not obeyed. Obeying an older
-// one would undo what was confirmed to an operator, and a drained worker would get
-// work again; the operator decides, by a plan to restore.
+// reportIgnored reports once that a document of the platform is ignored. An older document would revert
+// changes that were confirmed to an operator, and a drained worker would get tasks again. The operator
+// decides whether to restore the document in force.
 func (s *syncer) reportIgnored(c *schema.Config, reason, message string) {
 	s.mu.Lock()
 	message = fmt.Sprintf("%s (revision %d)", message, c.GetRevision())
@@ -204,15 +204,15 @@
 	s.log.WithFields(logrus.Fields{"event": "config_in_force", "revision": c.GetRevision(), "from": from}).Info("configuration in force")
 }
 
-// watchVMs follows the VM list until the context ends. It waits for a change of what
-// the platform shows, not of what is in force: a platform that came back older would
-// differ from that for good and end every watch at once.
+// watchVMs follows the VM list until the context ends. It waits for a change of the list that the platform
+// returned last, not of the list in force. A platform that was restored from an older copy would always
+// differ from the list in force, so every watch would return at once.
 func (s *syncer) watchVMs(ctx context.Context) {
 	var version uint64
 	s.watchRepeatedly(ctx, "vms", func() (bool, error) {
 		l, ok, err := s.platform.VMs(ctx, version, s.watchWait)
 		if err != nil {
-			version = 0 // the next call is answered at once and shows that the outage is over
+			version = 0 // the platform answers the next call at once, which shows the end of the outage
 			return false, err
 		}
 		version = l.GetVersion()
@@ -220,7 +220,7 @@
 	})
 }
 
-// takeVMs takes a VM list from the platform, if it is newer.
+// applyVMs puts a VM list of the platform in force if it is newer.
 func (s *syncer) applyVMs(l *schema.VmList) bool {
 	fields := logrus.Fields{"event": "vm_list", "version": l.GetVersion(), "vms": len(l.GetVms())}
 	if s.state.updateVMs(l) {
@@ -229,25 +229,25 @@
 	}
 	if have := s.state.vmList().GetVersion(); l.GetVersion() < have {
 		s.metrics.count("platform_failures", "call", "vms_older")
-		s.log.WithFields(fields).WithField("have", have).Warn("the platform shows an older VM list, which is not taken")
+		s.log.WithFields(fields).WithField("have", have).Warn("the platform returned an older VM list; ignoring it")
 	}
 	return false
 }
 
-// platformRevision returns the revision of the platform's document as last read.
+// platformRevision returns the revision of the platform's document when it was last read.
 func (s *syncer) platformRevision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastSeen.doc.GetRevision()
 }
 
-// alarms returns what an operator has to know about the platform.
+// alarms returns the conditions of the platform that need an operator's attention.
 func (s *syncer) alarms() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []string
 	if len(s.lastSeen.failingSince) > 0 {
-		list = append(list, AlarmPlatformUnavailable+": the platform's service gives no answer; the configuration in force stays")
+		list = append(list, AlarmPlatformUnavailable+": the platform's service does not answer; the configuration in force stays")
 	}
 	if s.lastSeen.ignoredReason != "" {
 		list = append(list, AlarmConfigIgnored+": "+s.lastSeen.ignoredReason+"; plan restore")
@@ -255,14 +255,14 @@
 	return list
 }
 
-// Names of alarms, the first word of an alarm in the status.
+// Names of alarms. The text of an alarm in the status begins with its name.
 const (
 	AlarmPlatformUnavailable = "platform_unavailable"
 	AlarmConfigIgnored       = "config_ignored"
 	AlarmDomainRetired       = "domain_retired"
 )
 
-// peerAhead fetches what a peer has newer than this entry.
+// fetchFromPeer fetches the configuration and the VM list from a peer whose heartbeat shows newer ones.
 func (s *syncer) fetchFromPeer(ctx context.Context, h *schema.Heartbeat) {
 	have := s.state.config().Revision()
 	version := s.state.vmList().GetVersion()
@@ -291,7 +291,7 @@
 	}
 }
 
-// stateFor returns what the asking peer lacks.
+// newerState returns the configuration and the VM list if they are newer than those of the requesting peer.
 func (s *syncer) newerState(r *schema.StateRequest) *schema.State {
 	out := &schema.State{}
 	if x := s.state.config(); x.Revision() > r.GetHaveConfigRevision() {
--- a/internal/entry/workers.go
+++ b/internal/entry/workers.go
@@ -1,3 +1,4 @@
+// The workers: the list that the scheduler gets, and the workers that have announced that they are leaving.
 package entry
 
 import (
@@ -13,8 +14,7 @@
 	"github.com/lavendercleat/lavendercleat/slot"
 )
 
-// workers derives the scheduler's list of workers from the VM list, the
-// configuration and the members.
+// workers computes the scheduler's list of workers from the VM list, the configuration and the members.
 type workers struct {
 	clock      *clock.Clock
 	state      *state
@@ -23,15 +23,15 @@
 	client     *backend.Client
 	domain     string
 
-	// updating keeps an older list from being put in place after a newer one: a worker
-	// just marked as leaving would get work again.
+	// updateMu prevents an older list from replacing a newer one. Otherwise a worker that was just marked as
+	// leaving would get tasks again.
 	updateMu sync.Mutex
 
 	mu      sync.Mutex
 	leaving *member.LeavingWorkers
 }
 
-// update recomputes the list.
+// update computes the list again and passes it to the scheduler.
 func (w *workers) update() {
 	w.updateMu.Lock()
 	defer w.updateMu.Unlock()
@@ -50,7 +50,7 @@
 	w.dispatcher.step(func(now time.Duration) { w.dispatcher.sched.SetWorkers(now, list) })
 }
 
-// worker returns a VM as the scheduler sees it.
+// schedWorker converts a VM to a worker of the scheduler.
 func (w *workers) schedWorker(vm *schema.Vm, index *config.Index) sched.Worker {
 	s := sched.Worker{
 		Address:   vm.GetAddress(),
@@ -69,7 +69,7 @@
 	return sched.Resources{CPUs: r.GetCpus(), MemoryMB: r.GetMemoryMb(), Accelerators: r.GetAccelerators()}
 }
 
-// takeList lets the VM list end notices of leaving workers.
+// applyVMList removes the notices of leaving workers that the VM list ends.
 func (w *workers) applyVMList(l *schema.VmList) {
 	listed := make(map[string]bool, len(l.GetVms()))
 	for _, vm := range l.GetVms() {
@@ -88,7 +88,7 @@
 	return w.leaving.Has(address)
 }
 
-// leavingList returns the workers that said that they are leaving.
+// leavingList returns the workers that have announced that they are leaving.
 func (w *workers) leavingList() []*schema.LeavingWorker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -99,12 +99,12 @@
 	return list
 }
 
-// markLeaving notes a worker that said to this entry that it is leaving.
+// markLeaving records a worker that has announced to this entry that it is leaving.
 func (w *workers) markLeaving(worker string) {
 	w.handleLeaving([]*schema.LeavingWorker{{Address: worker}})
 }
 
-// takeLeaving notes workers that said that they are leaving.
+// handleLeaving records workers that have announced that they are leaving.
 func (w *workers) handleLeaving(list []*schema.LeavingWorker) {
 	w.mu.Lock()
 	changed := false
