--- a/internal/entry/callerapi.go
+++ b/internal/entry/callerapi.go
@@ -1,4 +1,5 @@
 // The HTTP interface for callers: authentication, request bodies and replies.
+
 package entry
 
 import (
--- a/internal/entry/deferredhandler.go
+++ b/internal/entry/deferredhandler.go
@@ -1,4 +1,5 @@
 // A peer handler that waits until the entry's parts exist.
+
 package entry
 
 import (
--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -1,5 +1,6 @@
 // The dispatcher: it feeds events to the scheduler, runs the tasks that the scheduler starts and
 // collects their results.
+
 package entry
 
 import (
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,4 +1,5 @@
 // The entry daemon: construction, connections between its parts, readiness, gauges and status.
+
 package entry
 
 import (
--- a/internal/entry/fleetstatus.go
+++ b/internal/entry/fleetstatus.go
@@ -1,4 +1,5 @@
 // The status of all entries of the fleet.
+
 package entry
 
 import (
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -1,4 +1,5 @@
 // Forwarding of requests to the owner of an identifier, and the replies when the owner does not answer.
+
 package entry
 
 import (
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -1,4 +1,5 @@
 // Handover of answers at a planned stop: sending them to a successor, and taking over those of a peer.
+
 package entry
 
 import (
@@ -52,7 +53,7 @@
 			return true
 		}
 		h.metrics.count("handovers", "result", "failed")
-		h.log.WithFields(logrus.Fields{"event": "handover_failed", "successor": to.Address}).WithError(err).Warn("this entry did not take over the answers")
+		h.log.WithFields(logrus.Fields{"event": "handover_failed", "successor": to.Address}).WithError(err).Warn("the peer did not take over the answers")
 	}
 	return false
 }
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -1,4 +1,5 @@
 // Helpers of the tests: an entry with stand-ins for the platform and the workers.
+
 package entry
 
 import (
--- a/internal/entry/httpstatus.go
+++ b/internal/entry/httpstatus.go
@@ -1,4 +1,5 @@
 // The HTTP status of a failure.
+
 package entry
 
 import (
--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -1,4 +1,5 @@
 // Decoding of jobs, and their checks against the configuration.
+
 package entry
 
 import (
--- a/internal/entry/lifecycle.go
+++ b/internal/entry/lifecycle.go
@@ -1,4 +1,5 @@
 // Life cycle: listening sockets, background loops, and closing. stop.go has the planned stop.
+
 package entry
 
 import (
--- a/internal/entry/loans.go
+++ b/internal/entry/loans.go
@@ -1,4 +1,5 @@
 // Slot loans: the messages by which entries lend slots to each other, between the scheduler and the peers.
+
 package entry
 
 import (
@@ -45,7 +46,7 @@
 	return sched.Peer{Address: a.String(), Incarnation: incarnation, Domain: domain}
 }
 
-// handleHeartbeat passes the numbers of slots that a peer can lend and wants to the scheduler.
+// handleHeartbeat tells the scheduler how many slots a peer can lend and how many it wants.
 func (l *loans) handleHeartbeat(h *schema.Heartbeat) {
 	p := sched.Peer{Address: h.GetAddress(), Incarnation: h.GetIncarnation(), Domain: h.GetDomain()}
 	l.setPeerFree(p, h.GetFreeSlots(), h.GetWantedSlots())
--- a/internal/entry/membership.go
+++ b/internal/entry/membership.go
@@ -1,4 +1,5 @@
 // Heartbeats: the exchange with the peers, and the view of them that results.
+
 package entry
 
 import (
@@ -267,18 +268,18 @@
 func (m *membership) successorCandidates() []member.Process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var near, far []member.Process
+	var sameDomain, otherDomains []member.Process
 	for _, p := range m.view.Live("") {
 		process := member.Process{Address: p.Address, Incarnation: p.Incarnation}
 		switch {
 		case p.Stopping:
 		case p.Domain == m.domain:
-			near = append(near, process)
+			sameDomain = append(sameDomain, process)
 		default:
-			far = append(far, process)
+			otherDomains = append(otherDomains, process)
 		}
 	}
-	return append(near, far...)
+	return append(sameDomain, otherDomains...)
 }
 
 // liveness returns what is certain about the owner of an identifier.
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -1,4 +1,5 @@
 // The counters and gauges of an entry.
+
 package entry
 
 import (
--- a/internal/entry/monitoring.go
+++ b/internal/entry/monitoring.go
@@ -1,4 +1,5 @@
 // The HTTP interface for monitoring.
+
 package entry
 
 import (
--- a/internal/entry/operatorapi.go
+++ b/internal/entry/operatorapi.go
@@ -1,4 +1,5 @@
 // The HTTP interface for operators: plans, confirmations, status, history and export.
+
 package entry
 
 import (
--- a/internal/entry/peerapi.go
+++ b/internal/entry/peerapi.go
@@ -1,4 +1,5 @@
 // The interface for peers: it passes each request of another entry to the part that handles it.
+
 package entry
 
 import (
--- a/internal/entry/planner.go
+++ b/internal/entry/planner.go
@@ -1,4 +1,5 @@
 // Plans of operators: computing what an intent would change, and applying confirmed plans exactly once.
+
 package entry
 
 import (
@@ -20,8 +21,8 @@
 	platformCallTimeout = 4 * time.Second
 	// confirmTimeout bounds the writing of a confirmed plan, including retries after lost replies.
 	confirmTimeout = 8 * time.Second
-	// writeRetryPause is the pause before a write or read of the platform is repeated.
-	writeRetryPause = 200 * time.Millisecond
+	// platformRetryPause is the pause before a write or read of the platform is repeated.
+	platformRetryPause = 200 * time.Millisecond
 	// maxBaseReads bounds the repeated reads of the platform when other plans are applied during a read.
 	maxBaseReads = 5
 	// operatorRetryAfter is the Retry-After for operators while something is unavailable.
@@ -89,7 +90,7 @@
 		if refusal == nil || !overtaken && refusal.Reason != config.EntryBehind {
 			break
 		}
-		clock.Sleep(ctx, writeRetryPause)
+		clock.Sleep(ctx, platformRetryPause)
 	}
 	return s, base, refusal
 }
@@ -230,7 +231,7 @@
 		}
 		replyLost = true
 		p.metrics.count("platform_failures", "call", "confirm")
-		clock.Sleep(ctx, writeRetryPause)
+		clock.Sleep(ctx, platformRetryPause)
 	}
 	return unknownOutcome()
 }
@@ -247,7 +248,7 @@
 	for ctx.Err() == nil {
 		s, refusal := p.read(ctx)
 		if refusal != nil {
-			clock.Sleep(ctx, writeRetryPause)
+			clock.Sleep(ctx, platformRetryPause)
 			continue
 		}
 		if rec := config.FindPlan(s.doc, c.Id); rec != nil {
--- a/internal/entry/quotas.go
+++ b/internal/entry/quotas.go
@@ -1,5 +1,6 @@
 // Quotas and limits: this entry's shares of teams' quotas and kinds' limits, from the demand that the
 // entries report to each other.
+
 package entry
 
 import (
@@ -120,8 +121,8 @@
 	return out
 }
 
-// endDemandPeriod ends a period of demand. Only teams with a quota and kinds with a limit have demand: that of
-// the others would only make the heartbeats larger.
+// endDemandPeriod ends a period of demand. It measures only teams with a quota and kinds with a limit. The
+// demand of others would only make the heartbeats larger.
 func (q *quotas) endDemandPeriod() {
 	doc := q.state.config().Document()
 	running := q.dispatcher.demandByKind()
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -1,5 +1,6 @@
 // The router: it serves a request for a submission here, if this process owns it or has taken it over,
 // and otherwise forwards the request to the owner.
+
 package entry
 
 import (
--- a/internal/entry/seed.go
+++ b/internal/entry/seed.go
@@ -1,4 +1,5 @@
 // Writing of a first configuration document, for development and tests.
+
 package entry
 
 import (
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -1,4 +1,5 @@
 // Checks of the entry's settings.
+
 package entry
 
 import (
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -1,4 +1,5 @@
 // The configuration and the VM list that are in force at this entry.
+
 package entry
 
 import (
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -1,4 +1,5 @@
 // The planned stop of an entry: finishing jobs, handing over answers and finishing requests.
+
 package entry
 
 import (
@@ -74,7 +75,7 @@
 }
 
 // handOver hands the answers over, which takes milliseconds if there is a successor. Without a peer, the
-// entry serves the answers until the stop time-out, or returns at once if it has none.
+// entry serves its answers until the stop time-out. It returns at once if it has no answers.
 func (e *Entry) handOver(ctx, stopCtx context.Context) {
 	for first := true; ; first = false {
 		attemptCtx, cancel := context.WithTimeout(ctx, finishTimeout)
--- a/internal/entry/submissions.go
+++ b/internal/entry/submissions.go
@@ -1,4 +1,5 @@
 // The submissions that this process owns: start, cancellation, and the one final response of each.
+
 package entry
 
 import (
--- a/internal/entry/syncer.go
+++ b/internal/entry/syncer.go
@@ -1,5 +1,6 @@
 // Synchronization of the configuration and the VM list: from the platform's service, and from peers that
 // have newer ones.
+
 package entry
 
 import (
--- a/internal/entry/watchbackoff.go
+++ b/internal/entry/watchbackoff.go
@@ -1,4 +1,5 @@
 // The pauses between calls of a watch on the platform's service.
+
 package entry
 
 import (
@@ -20,10 +21,10 @@
 	pauseJitter = 0.25
 )
 
-// watchBackoff decides how long a watch pauses between its calls. Each call costs the platform's service
-// work. Some calls fail or return at once every time, for example while the platform has been restored
-// from an older copy, which differs from the document in force at every call. Without pauses such a watch
-// would call thousands of times a second.
+// watchBackoff decides how long a watch pauses between its calls, because each call loads the platform's
+// service. Some watches fail or return at once every time. An example is a platform that was restored from
+// an older copy, which differs from the document in force at every call. Without pauses, such a watch would
+// call the platform thousands of times a second.
 type watchBackoff struct {
 	backoff *backoff.ExponentialBackOff
 }
--- a/internal/entry/workers.go
+++ b/internal/entry/workers.go
@@ -1,4 +1,5 @@
 // The workers: the list that the scheduler gets, and the workers that have announced that they are leaving.
+
 package entry
 
 import (
