--- a/internal/entry/fleet.go
+++ b/internal/entry/fleetstatus.go
@@ -1,3 +1,5 @@
+// The status of all entries of the fleet.
+
 package entry
 
 import (
@@ -14,22 +16,22 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// statusTimeout bounds the wait for the entries' own status.
+// statusTimeout bounds the wait for the status of the other entries.
 const statusTimeout = 2 * time.Second
 
-// fleet asks all entries about themselves.
-type fleet struct {
+// statusCollector queries all entries for their status.
+type statusCollector struct {
 	members *membership
 	client  *peer.Client
 	metrics *Metrics
 	syncer  *syncer
-	// self describes this entry.
+	// self returns the status of this entry.
 	self func() *schema.StatusReply
 }
 
-// ask returns the status of every entry that answers in time, this one included,
-// and the addresses of the others.
-func (f *fleet) ask(ctx context.Context) (replies []*schema.StatusReply, unreachable []string) {
+// collect returns the status of every entry that answers in time, including this one, and the addresses of
+// the entries that did not answer.
+func (f *statusCollector) collect(ctx context.Context) (replies []*schema.StatusReply, unreachable []string) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	replies = append(replies, f.self())
@@ -37,7 +39,7 @@
 	var wg sync.WaitGroup
 	for _, a := range f.members.candidates() {
 		wg.Go(func() {
-			reply := f.askOne(ctx, a)
+			reply := f.queryPeer(ctx, a)
 			mu.Lock()
 			defer mu.Unlock()
 			if reply == nil {
@@ -55,9 +57,9 @@
 	return replies, unreachable
 }
 
-// askOne returns a peer's status, nil when there is no answer.
-func (f *fleet) askOne(ctx context.Context, a netip.AddrPort) *schema.StatusReply {
-	f.metrics.message("status")
+// queryPeer returns a peer's status, or nil if the peer does not answer.
+func (f *statusCollector) queryPeer(ctx context.Context, a netip.AddrPort) *schema.StatusReply {
+	f.metrics.countMessage("status")
 	reply, failure := f.client.Call(ctx, a, &schema.Request{Body: &schema.Request_Status{Status: &schema.StatusRequest{}}})
 	if failure != nil {
 		return nil
@@ -65,9 +67,9 @@
 	return reply.GetStatus()
 }
 
-// status describes all entries.
-func (f *fleet) status(ctx context.Context) schema.FleetStatus {
-	replies, unreachable := f.ask(ctx)
+// fleetStatus returns the status of all entries.
+func (f *statusCollector) fleetStatus(ctx context.Context) schema.FleetStatus {
+	replies, unreachable := f.collect(ctx)
 	out := schema.FleetStatus{PlatformRevision: f.syncer.platformRevision(), Unreachable: unreachable}
 	for _, r := range replies {
 		out.Revision = max(out.Revision, r.GetConfigRevision())
@@ -81,9 +83,9 @@
 	return out
 }
 
-// load adds up what runs in the fleet.
-func (f *fleet) load(ctx context.Context) config.FleetLoad {
-	replies, unreachable := f.ask(ctx)
+// fleetLoad adds up what runs at all entries.
+func (f *statusCollector) fleetLoad(ctx context.Context) config.FleetLoad {
+	replies, unreachable := f.collect(ctx)
 	l := config.FleetLoad{RunningByWorker: make(map[string]int), TeamRates: make(map[string]int), Unreachable: unreachable}
 	for _, r := range replies {
 		l.Running += int(r.GetRunningTasks())
@@ -98,17 +100,17 @@
 	return l
 }
 
-// candidates returns the addresses of all known entries but this one.
+// candidates returns the addresses of all known entries except this one.
 func (m *membership) candidates() []netip.AddrPort {
 	var all []netip.AddrPort
-	m.with(func(v *member.View) { all = v.Candidates() })
+	m.withView(func(v *member.View) { all = v.Candidates() })
 	return all
 }
 
-// newestConfig returns the highest revision that a live peer has in force.
-func (m *membership) newestConfig() uint64 {
+// newestConfigRevision returns the highest revision that a live peer has in force.
+func (m *membership) newestConfigRevision() uint64 {
 	newest := uint64(0)
-	m.with(func(v *member.View) {
+	m.withView(func(v *member.View) {
 		for _, p := range v.Live("") {
 			newest = max(newest, p.ConfigRevision)
 		}
--- a/internal/entry/run.go
+++ b/internal/entry/lifecycle.go
@@ -1,3 +1,5 @@
+// Life cycle: listening sockets, background loops, and closing. stop.go has the planned stop.
+
 package entry
 
 import (
@@ -14,23 +16,23 @@
 	"github.com/lavendercleat/lavendercleat/internal/peer"
 )
 
-// maxHeaderBytes bounds the header of a request.
+// maxHeaderBytes bounds the header of a request, in bytes.
 const maxHeaderBytes = 16 << 10
 
-// httpLimits bound what one connection may cost.
+// httpLimits bounds what one connection may use.
 type httpLimits struct {
-	// readHeader and read bound the time in which a request's header, and the whole
-	// request, must have arrived.
+	// readHeader bounds the time until the header of a request has arrived, read the time until the whole
+	// request has arrived.
 	readHeader time.Duration
 	read       time.Duration
-	// write bounds the time in which the caller must have taken its answer.
+	// write bounds the time in which the caller must read its reply.
 	write       time.Duration
 	idle        time.Duration
 	headerBytes int
 }
 
-// defaultLimits suit callers on mobile networks.
-var defaultLimits = httpLimits{
+// defaultHTTPLimits suit callers on mobile networks.
+var defaultHTTPLimits = httpLimits{
 	readHeader:  5 * time.Second,
 	read:        30 * time.Second,
 	write:       30 * time.Second,
@@ -38,7 +40,7 @@
 	headerBytes: maxHeaderBytes,
 }
 
-// servers are the entry's listening sockets.
+// servers holds the entry's listening sockets.
 type servers struct {
 	cred   peer.Credentials
 	limits httpLimits
@@ -51,10 +53,10 @@
 	metrics    netip.AddrPort
 }
 
-// Start opens the sockets and starts the background work.
+// Start opens the listening sockets and starts the background loops.
 func (e *Entry) Start(context.Context) error {
-	gate := &lateHandler{ready: make(chan struct{})}
-	server, err := peer.Listen(listenAddress(e.settings), e.servers.cred, gate)
+	handler := &deferredHandler{ready: make(chan struct{})}
+	server, err := peer.Listen(listenAddress(e.settings), e.servers.cred, handler)
 	if err != nil {
 		return errors.Wrap(err, "--peer-address")
 	}
@@ -64,11 +66,11 @@
 		self = server.Address()
 	}
 	e.assemble(self)
-	gate.set(e.peers)
+	handler.set(e.peerAPI)
 	if err := e.listenHTTP(); err != nil {
 		return errors.CombineErrors(err, e.close())
 	}
-	e.background()
+	e.startBackground()
 	e.log.WithFields(logrus.Fields{
 		"event": "started", "domain": e.settings.Domain, "peer": self, "callers": e.servers.caller,
 		"operators": e.servers.operator, "metrics": e.servers.metrics,
@@ -78,14 +80,14 @@
 
 func (e *Entry) listenHTTP() error {
 	var err error
-	if e.servers.caller, err = e.serveHTTP(e.settings.CallerAddress, e.trackRequests(e.callers.handler())); err != nil {
+	if e.servers.caller, err = e.serveHTTP(e.settings.CallerAddress, e.trackRequests(e.callerAPI.handler())); err != nil {
 		return errors.Wrap(err, "--caller-address")
 	}
 	e.servers.callerHTTP = e.servers.http[0]
-	if e.servers.operator, err = e.serveHTTP(e.settings.OperatorAddress, e.operator.handler()); err != nil {
+	if e.servers.operator, err = e.serveHTTP(e.settings.OperatorAddress, e.operatorAPI.handler()); err != nil {
 		return errors.Wrap(err, "--operator-address")
 	}
-	if e.servers.metrics, err = e.serveHTTP(e.settings.MetricsAddress, e.monitor()); err != nil {
+	if e.servers.metrics, err = e.serveHTTP(e.settings.MetricsAddress, e.monitoringHandler()); err != nil {
 		return errors.Wrap(err, "--metrics-address")
 	}
 	return nil
@@ -111,22 +113,22 @@
 	return l.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
-// background starts the loops that run until the entry stops.
-func (e *Entry) background() {
+// startBackground starts the loops that run until the entry stops.
+func (e *Entry) startBackground() {
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
 	e.members.setCandidates(e.state.vmList(), e.settings.SeedPeers)
 	e.wg.Go(func() { e.syncer.watchConfig(ctx) })
 	e.wg.Go(func() { e.syncer.watchVMs(ctx) })
 	e.wg.Go(func() { e.members.run(ctx) })
-	e.wg.Go(func() { every(ctx, tickInterval, e.tick) })
-	e.wg.Go(func() { every(ctx, sweepInterval, e.sweep) })
-	e.wg.Go(func() { every(ctx, demandPeriod, e.quotas.observe) })
-	e.wg.Go(func() { every(ctx, peerIdleTimeout, func() { e.client.CloseIdle(peerIdleTimeout) }) })
+	e.wg.Go(func() { runEvery(ctx, tickInterval, e.tick) })
+	e.wg.Go(func() { runEvery(ctx, sweepInterval, e.sweep) })
+	e.wg.Go(func() { runEvery(ctx, demandPeriod, e.quotas.endDemandPeriod) })
+	e.wg.Go(func() { runEvery(ctx, peerIdleTimeout, func() { e.peerClient.CloseIdle(peerIdleTimeout) }) })
 }
 
-// every calls fn at an interval until the context ends.
-func every(ctx context.Context, interval time.Duration, fn func()) {
+// runEvery calls fn at an interval until the context ends.
+func runEvery(ctx context.Context, interval time.Duration, fn func()) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
@@ -161,14 +163,14 @@
 // PeerListenAddress returns the address on which the entry listens for peers.
 func (e *Entry) PeerListenAddress() netip.AddrPort { return e.servers.peer.Address() }
 
-// Abort breaks everything off at once, as when the process dies: callers get no
-// answer and nothing is handed over. It is meant for experiments.
+// Abort stops everything at once, as if the process had died: callers get no reply, and no answers are
+// handed over. It is for experiments.
 func (e *Entry) Abort() error {
 	e.workers.dispatcher.halt()
 	return e.close()
 }
 
-// close cuts off callers and peers at once and waits for the background loops.
+// close closes all connections at once and waits for the background loops.
 func (e *Entry) close() error {
 	if e.cancel != nil {
 		e.cancel()
@@ -178,7 +180,7 @@
 	for _, s := range e.servers.http {
 		err = errors.CombineErrors(err, s.Close())
 	}
-	e.client.Close()
+	e.peerClient.Close()
 	err = errors.CombineErrors(err, e.servers.peer.Close())
 	e.backend.Close()
 	e.platform.Close()
--- a/internal/entry/membership.go
+++ b/internal/entry/membership.go
@@ -1,3 +1,5 @@
+// Heartbeats: the exchange with the peers, and the view of them that results.
+
 package entry
 
 import (
@@ -15,10 +17,10 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// refreshPause is the pause before the peers are asked again.
-const refreshPause = 20 * time.Millisecond
+// refreshRetryPause is the time between attempts to refresh the view.
+const refreshRetryPause = 20 * time.Millisecond
 
-// membership exchanges heartbeats with the peers and keeps the view of them.
+// membership exchanges heartbeats with the peers and maintains the view of them.
 type membership struct {
 	clock    *clock.Clock
 	client   *peer.Client
@@ -27,54 +29,54 @@
 	interval time.Duration
 	self     member.Process
 	domain   string
-	// onChange is called when the set of live peers changed.
+	// onChange is called when the set of live peers has changed.
 	onChange func()
-	// onHeartbeat is told of each peer's heartbeat.
+	// onHeartbeat is called for each heartbeat of a peer.
 	onHeartbeat func(*schema.Heartbeat)
-	// fill adds what this entry has to tell to an outgoing heartbeat.
-	fill func(*schema.Heartbeat)
-	// settle returns the time after an identifier's minting after which its owner
-	// neither starts its job nor tells an answer of it.
-	settle func() time.Duration
+	// fillHeartbeat adds the state of the entry's other parts to an outgoing heartbeat.
+	fillHeartbeat func(*schema.Heartbeat)
+	// identifierLifetime returns the time after the minting of an identifier after which its owner neither
+	// starts the job nor reports an answer.
+	identifierLifetime func() time.Duration
 
-	mu   sync.Mutex
-	view *member.View
-	pace *member.HeartbeatSchedule
-	// handedBack is set once this entry, which is stopping, needs its slots no more.
-	handedBack bool
-	// lastBeat is the time of the latest beat, by which a pause is noticed.
-	lastBeat time.Duration
+	mu       sync.Mutex
+	view     *member.View
+	schedule *member.HeartbeatSchedule
+	// slotsReleased is set when this entry is stopping and no longer needs its slots.
+	slotsReleased bool
+	// lastRound is the time of the latest heartbeat round. A late round shows a pause of this process.
+	lastRound time.Duration
 }
 
-// with runs fn on the view under its lock.
-func (m *membership) with(fn func(v *member.View)) {
+// withView calls fn with the view, under the lock.
+func (m *membership) withView(fn func(v *member.View)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	fn(m.view)
 }
 
-// members returns the addresses among which this domain's slots are divided.
+// members returns the addresses of the entries that share the slots of this failure domain.
 func (m *membership) members() []netip.AddrPort {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Members()
 }
 
-// known tells whether an address belongs to an entry.
-func (m *membership) known(a netip.AddrPort) bool {
+// isEntry reports whether an address belongs to an entry.
+func (m *membership) isEntry(a netip.AddrPort) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Known(a)
 }
 
-// successor returns the process that keeps the answers of p.
+// successor returns the process that keeps the answers of p now.
 func (m *membership) successor(p member.Process) member.Process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Successor(p)
 }
 
-// setCandidates takes the entries of the VM list and the settings.
+// setCandidates sets the candidates for peers: the entries of the VM list and the seeds of the settings.
 func (m *membership) setCandidates(vms *schema.VmList, seeds []netip.AddrPort) {
 	c := make(map[netip.AddrPort]string)
 	for _, a := range seeds {
@@ -86,10 +88,10 @@
 			c[a] = vm.GetDomain()
 		}
 	}
-	m.with(func(v *member.View) { v.SetCandidates(c) })
+	m.withView(func(v *member.View) { v.SetCandidates(c) })
 }
 
-// heartbeat returns what this entry tells its peers.
+// heartbeat returns this entry's heartbeat.
 func (m *membership) heartbeat() *schema.Heartbeat {
 	h := &schema.Heartbeat{
 		Address:     m.self.Address.String(),
@@ -97,13 +99,13 @@
 		Domain:      m.domain,
 	}
 	m.mu.Lock()
-	h.Stopping = m.handedBack
+	h.Stopping = m.slotsReleased
 	m.view.Successors(m.clock.Now(), func(stopped, successor member.Process, keep time.Duration) {
 		h.Successors = append(h.Successors, successorMessage(stopped, successor, keep))
 	})
 	m.mu.Unlock()
-	m.fill(h)
-	h.SettleMs = m.settle().Milliseconds()
+	m.fillHeartbeat(h)
+	h.SettleMs = m.identifierLifetime().Milliseconds()
 	h.ClockMs = m.clock.Now().Milliseconds()
 	return h
 }
@@ -118,8 +120,8 @@
 	}
 }
 
-// take takes in a peer's heartbeat.
-func (m *membership) take(h *schema.Heartbeat) {
+// handleHeartbeat handles a peer's heartbeat.
+func (m *membership) handleHeartbeat(h *schema.Heartbeat) {
 	address, err := netip.ParseAddrPort(h.GetAddress())
 	if err != nil {
 		return
@@ -138,9 +140,9 @@
 	m.mu.Lock()
 	restarted := m.view.Peer(address) == nil || m.view.Peer(address).Incarnation != p.Incarnation
 	changed := m.view.HandleHeartbeat(m.clock.Now(), p)
-	m.pace.HandleExchange(m.clock.Now(), address)
+	m.schedule.HandleExchange(m.clock.Now(), address)
 	for _, s := range h.GetSuccessors() {
-		m.takeSuccessor(s)
+		m.handleSuccessor(s)
 	}
 	m.mu.Unlock()
 	if restarted {
@@ -153,7 +155,8 @@
 	m.onHeartbeat(h)
 }
 
-func (m *membership) takeSuccessor(s *schema.Successor) {
+// handleSuccessor records the successor of a stopped process. The caller holds the lock.
+func (m *membership) handleSuccessor(s *schema.Successor) {
 	stopped, err1 := netip.ParseAddrPort(s.GetAddress())
 	successor, err2 := netip.ParseAddrPort(s.GetSuccessor())
 	if err1 != nil || err2 != nil {
@@ -172,7 +175,7 @@
 	t := time.NewTicker(m.interval)
 	defer t.Stop()
 	for {
-		m.beat(ctx, m.due)
+		m.heartbeatRound(ctx, m.heartbeatDue)
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -181,121 +184,122 @@
 	}
 }
 
-// due tells whether a heartbeat is due; called under the lock.
-func (m *membership) due(a netip.AddrPort) bool {
-	return m.pace.Due(m.clock.Now(), a, m.view.Domain(a), m.view.Peer(a) != nil)
+// heartbeatDue reports whether a heartbeat to an address is due. The caller holds the lock.
+func (m *membership) heartbeatDue(a netip.AddrPort) bool {
+	return m.schedule.Due(m.clock.Now(), a, m.view.Domain(a), m.view.Peer(a) != nil)
 }
 
-// beat drops silent peers and sends one heartbeat to every candidate that is wanted.
-func (m *membership) beat(ctx context.Context, wanted func(netip.AddrPort) bool) {
+// heartbeatRound removes the peers whose time-out has passed, and sends a heartbeat to every candidate for
+// which include returns true (all if nil).
+func (m *membership) heartbeatRound(ctx context.Context, include func(netip.AddrPort) bool) {
 	changed := false
-	m.with(func(v *member.View) {
+	m.withView(func(v *member.View) {
 		now := m.clock.Now()
-		if late := now - m.lastBeat - m.interval; m.lastBeat != 0 && late > clock.PauseThreshold {
+		if late := now - m.lastRound - m.interval; m.lastRound != 0 && late > clock.PauseThreshold {
 			v.HandlePause(now, late)
 		}
-		m.lastBeat = now
+		m.lastRound = now
 		changed = v.Tick(now)
 	})
 	if changed {
-		m.log.WithField("event", "peer_changed").Warn("a peer went silent")
+		m.log.WithField("event", "peer_changed").Warn("a peer sent no heartbeat within its time-out")
 		m.onChange()
 	}
-	m.send(ctx, wanted)
+	m.sendHeartbeats(ctx, include)
 }
 
-// send sends one heartbeat to every candidate that is wanted; to all for nil, when
-// there is news that must not wait. The returned group ends when each has answered or
-// did not in time.
-func (m *membership) send(ctx context.Context, wanted func(netip.AddrPort) bool) *sync.WaitGroup {
+// sendHeartbeats sends a heartbeat to every candidate for which include returns true. If include is nil,
+// it sends one to all, for an update that must not wait. The returned group is done when each candidate
+// has answered or has timed out.
+func (m *membership) sendHeartbeats(ctx context.Context, include func(netip.AddrPort) bool) *sync.WaitGroup {
 	var candidates []netip.AddrPort
-	m.with(func(v *member.View) {
+	m.withView(func(v *member.View) {
 		candidates = v.Candidates()
-		m.pace.RemoveUnlisted(candidates)
-		if wanted != nil {
-			candidates = slices.DeleteFunc(candidates, func(a netip.AddrPort) bool { return !wanted(a) })
+		m.schedule.RemoveUnlisted(candidates)
+		if include != nil {
+			candidates = slices.DeleteFunc(candidates, func(a netip.AddrPort) bool { return !include(a) })
 		}
 	})
-	var sent sync.WaitGroup
+	var pending sync.WaitGroup
 	if len(candidates) == 0 {
-		return &sent
+		return &pending
 	}
 	h := m.heartbeat()
 	for _, a := range candidates {
-		sent.Go(func() { m.exchange(ctx, a, h) })
+		pending.Go(func() { m.exchangeHeartbeat(ctx, a, h) })
 	}
-	return &sent
+	return &pending
 }
 
-// announce sends a heartbeat to every candidate and waits for their answers, so that
-// those that can be reached know what it tells.
-func (m *membership) announce(ctx context.Context) { m.send(ctx, nil).Wait() }
+// announce sends a heartbeat to every candidate and waits for the answers. After it, every reachable peer
+// has the current state of this entry.
+func (m *membership) announce(ctx context.Context) { m.sendHeartbeats(ctx, nil).Wait() }
 
-// refresh asks the peers until each live one has answered, or for a time at most: the
-// first call after a pause often fails, on a connection that timed out meanwhile.
-func (m *membership) refresh(ctx context.Context, limit time.Duration) {
+// refreshView exchanges heartbeats until every live peer has answered, at most for the given time. The
+// first call after a pause often fails, because its connection timed out during the pause.
+func (m *membership) refreshView(ctx context.Context, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	begin := m.clock.Now()
+	start := m.clock.Now()
 	for {
 		m.announce(ctx)
-		fresh := false
-		m.with(func(v *member.View) { fresh = v.AllHeardSince(begin) })
-		if fresh || !clock.Sleep(ctx, refreshPause) {
+		allHeard := false
+		m.withView(func(v *member.View) { allHeard = v.AllHeardSince(start) })
+		if allHeard || !clock.Sleep(ctx, refreshRetryPause) {
 			return
 		}
 	}
 }
 
-// handBack tells the peers that this entry's slots are theirs.
-func (m *membership) handBack(ctx context.Context) {
-	m.with(func(*member.View) { m.handedBack = true })
+// releaseSlots tells the peers that they can use this entry's slots.
+func (m *membership) releaseSlots(ctx context.Context) {
+	m.withView(func(*member.View) { m.slotsReleased = true })
 	m.announce(ctx)
 }
 
-// stoppedGracefully tells the peers who keeps the answers of this process.
-func (m *membership) stoppedGracefully(ctx context.Context, successor member.Process) {
-	m.with(func(v *member.View) { v.SetSuccessor(m.clock.Now(), m.self, successor, m.settle()) })
+// announceSuccessor tells the peers which process keeps the answers of this one.
+func (m *membership) announceSuccessor(ctx context.Context, successor member.Process) {
+	m.withView(func(v *member.View) { v.SetSuccessor(m.clock.Now(), m.self, successor, m.identifierLifetime()) })
 	m.announce(ctx)
 }
 
-// successorCandidates returns the live peers to whom answers can be handed over, those
-// of the own failure domain first: a partition is less likely to cut them off.
+// successorCandidates returns the live peers that may take over the answers. Those of this failure domain
+// come first, because a partition is less likely to separate them from this entry.
 func (m *membership) successorCandidates() []member.Process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var near, far []member.Process
+	var sameDomain, otherDomains []member.Process
 	for _, p := range m.view.Live("") {
 		process := member.Process{Address: p.Address, Incarnation: p.Incarnation}
 		switch {
 		case p.Stopping:
 		case p.Domain == m.domain:
-			near = append(near, process)
+			sameDomain = append(sameDomain, process)
 		default:
-			far = append(far, process)
+			otherDomains = append(otherDomains, process)
 		}
 	}
-	return append(near, far...)
+	return append(sameDomain, otherDomains...)
 }
 
-// liveness tells what is certain about the owner of an identifier.
+// liveness returns what is certain about the owner of an identifier.
 func (m *membership) liveness(owner member.Process, minted time.Duration) member.Liveness {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Liveness(m.clock.Now(), owner, minted)
 }
 
-// exchange sends a heartbeat and takes in the one that answers it.
-func (m *membership) exchange(ctx context.Context, to netip.AddrPort, h *schema.Heartbeat) {
+// exchangeHeartbeat sends a heartbeat and handles the peer's heartbeat in the answer.
+func (m *membership) exchangeHeartbeat(ctx context.Context, to netip.AddrPort, h *schema.Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, 2*m.interval)
 	defer cancel()
-	m.metrics.message("heartbeat")
+	m.metrics.countMessage("heartbeat")
 	reply, failure := m.client.Call(ctx, to, &schema.Request{Body: &schema.Request_Heartbeat{Heartbeat: h}})
 	if failure != nil {
-		m.with(func(*member.View) { m.pace.HandleFailure(m.clock.Now(), to) })
+		m.withView(func(*member.View) { m.schedule.HandleFailure(m.clock.Now(), to) })
 		return
 	}
-	if back := reply.GetHeartbeat(); back != nil {
-		m.take(back)
+	if answer := reply.GetHeartbeat(); answer != nil {
+		m.handleHeartbeat(answer)
 	}
 }
--- a/internal/entry/monitor.go
+++ b/internal/entry/monitoring.go
@@ -1,3 +1,5 @@
+// The HTTP interface for monitoring.
+
 package entry
 
 import (
@@ -6,14 +8,14 @@
 	"github.com/gin-gonic/gin"
 )
 
-// monitor serves /metrics, /healthz and /readyz.
-func (e *Entry) monitor() http.Handler {
+// monitoringHandler returns the handler of /metrics, /healthz and /readyz.
+func (e *Entry) monitoringHandler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	g := gin.New()
 	g.GET("/metrics", func(c *gin.Context) { e.metrics.Write(c.Writer) })
 	g.GET("/healthz", func(c *gin.Context) { c.String(http.StatusOK, "ok\n") })
 	g.GET("/readyz", func(c *gin.Context) {
-		if f := e.notReady(); f != nil {
+		if f := e.checkReady(); f != nil {
 			c.String(http.StatusServiceUnavailable, f.Message+"\n")
 			return
 		}
--- a/internal/entry/peers.go
+++ b/internal/entry/peerapi.go
@@ -1,3 +1,5 @@
+// The interface for peers: it passes each request of another entry to the part that handles it.
+
 package entry
 
 import (
@@ -6,8 +8,8 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// peers answers the requests of other entries.
-type peers struct {
+// peerAPI handles the requests of other entries.
+type peerAPI struct {
 	router   *router
 	members  *membership
 	syncer   *syncer
@@ -17,30 +19,30 @@
 }
 
 // ServePeer implements peer.Handler.
-func (p *peers) ServePeer(ctx context.Context, r *schema.Request) *schema.Reply {
+func (p *peerAPI) ServePeer(ctx context.Context, r *schema.Request) *schema.Reply {
 	switch b := r.GetBody().(type) {
 	case *schema.Request_Forward:
-		return &schema.Reply{Forward: p.forward(ctx, b.Forward)}
+		return &schema.Reply{Forward: p.serveForwarded(ctx, b.Forward)}
 	case *schema.Request_Heartbeat:
-		p.members.take(b.Heartbeat)
+		p.members.handleHeartbeat(b.Heartbeat)
 		return &schema.Reply{Heartbeat: p.members.heartbeat()}
 	case *schema.Request_Borrow:
-		return &schema.Reply{Loan: p.loans.lend(b.Borrow)}
+		return &schema.Reply{Loan: p.loans.handleBorrow(b.Borrow)}
 	case *schema.Request_GiveBack:
-		return &schema.Reply{Loan: p.loans.takeBack(b.GiveBack)}
+		return &schema.Reply{Loan: p.loans.handleReturn(b.GiveBack)}
 	case *schema.Request_State:
-		return &schema.Reply{State: p.syncer.stateFor(b.State)}
+		return &schema.Reply{State: p.syncer.newerState(b.State)}
 	case *schema.Request_Handover:
-		return &schema.Reply{Handover: p.handover.take(b.Handover)}
+		return &schema.Reply{Handover: p.handover.receivePart(b.Handover)}
 	case *schema.Request_Status:
 		return &schema.Reply{Status: p.status()}
 	}
 	return &schema.Reply{Error: "unknown request"}
 }
 
-// forward serves a caller's request that another entry took in.
-func (p *peers) forward(ctx context.Context, f *schema.Forward) *schema.ForwardReply {
-	r := p.router.serve(ctx, call{
+// serveForwarded serves a caller's request that another entry forwarded.
+func (p *peerAPI) serveForwarded(ctx context.Context, f *schema.Forward) *schema.ForwardReply {
+	r := p.router.serve(ctx, callerRequest{
 		method:    f.GetMethod(),
 		id:        f.GetId(),
 		team:      f.GetTeam(),
@@ -51,7 +53,7 @@
 		Status:           int32(r.status),
 		RetryAfterMs:     r.retryAfter.Milliseconds(),
 		Body:             r.body,
-		WrongIncarnation: r.gone,
+		WrongIncarnation: r.wrongIncarnation,
 		Successor:        r.successor,
 	}
 }
--- a/internal/entry/planner.go
+++ b/internal/entry/planner.go
@@ -1,3 +1,5 @@
+// Plans of operators: computing what an intent would change, and applying confirmed plans exactly once.
+
 package entry
 
 import (
@@ -15,119 +17,119 @@
 )
 
 const (
-	// platformCallTimeout bounds one call of the platform for an operator.
+	// platformCallTimeout bounds one call of the platform for an operator's request.
 	platformCallTimeout = 4 * time.Second
-	// confirmTimeout bounds the writing of a confirmed plan, lost replies included.
+	// confirmTimeout bounds the writing of a confirmed plan, including retries after lost replies.
 	confirmTimeout = 8 * time.Second
-	// rewritePause is the pause before a write without a reply is sent again.
-	rewritePause = 200 * time.Millisecond
-	// maxReads bounds the reads of the platform that are overtaken by other plans.
-	maxReads = 5
-	// operatorRetryAfter is the advice to operators while something is unavailable.
+	// platformRetryPause is the pause before a write or read of the platform is repeated.
+	platformRetryPause = 200 * time.Millisecond
+	// maxBaseReads bounds the repeated reads of the platform when other plans are applied during a read.
+	maxBaseReads = 5
+	// operatorRetryAfter is the Retry-After for operators while something is unavailable.
 	operatorRetryAfter = 2 * time.Second
 )
 
-// planner makes plans and carries out confirmed ones. It keeps nothing between the
-// two, so a plan may be confirmed at any entry.
+// planner computes plans and applies confirmed ones. It stores nothing between the two steps, so an
+// operator may confirm a plan at any entry.
 type planner struct {
 	state    *state
 	platform *platform.Client
 	syncer   *syncer
 	log      logrus.FieldLogger
 	metrics  *Metrics
-	// newestPeer returns the highest revision that a live peer has in force.
-	newestPeer func() uint64
-	// load tells what runs in the fleet.
-	load func(context.Context) config.FleetLoad
-	// announce tells the peers of a new revision at once.
+	// newestPeerRevision returns the highest revision that a live peer has in force.
+	newestPeerRevision func() uint64
+	// fleetLoad returns what runs in the fleet.
+	fleetLoad func(context.Context) config.FleetLoad
+	// announce reports a new revision to the peers at once.
 	announce func()
 }
 
-// stored is the platform's document. The key's own revision counts the writes of the
-// key and is what compare-and-swap compares; the document's revision is what entries
-// compare. They differ once a document was restored or brought a revision of its own.
-type stored struct {
-	key uint64
-	doc *schema.Config
-	// unreadable is set when the key's value can't be decoded; doc is empty then.
+// storedDocument is the document that the platform stores. It has two revisions. The key's revision counts
+// the writes of the key; compare-and-swap compares it. The document's revision is the one that entries
+// compare. The two differ after a document has been restored or was written with a revision of its own.
+type storedDocument struct {
+	keyRevision uint64
+	doc         *schema.Config
+	// unreadable is set when the key's value cannot be decoded. doc is empty then.
 	unreadable bool
 }
 
-// read reads the platform's document; an absent one is empty, at revision 0.
-func (p *planner) read(ctx context.Context) (stored, *config.Refusal) {
+// read reads the platform's document. If there is none, it returns an empty one at revision 0.
+func (p *planner) read(ctx context.Context) (storedDocument, *config.Refusal) {
 	ctx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
 	v, err := p.platform.Get(ctx, ConfigKey)
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
-		return stored{doc: &schema.Config{}}, nil
+		return storedDocument{doc: &schema.Config{}}, nil
 	case err != nil:
-		return stored{}, &config.Refusal{
+		return storedDocument{}, &config.Refusal{
 			Reason:  config.PlatformUnavailable,
-			Message: "the platform's service gives no answer, so nothing can be changed now; nothing was written and the configuration in force stays",
+			Message: "the platform's service does not answer, so no change is possible now; nothing was written, and the configuration in force stays",
 		}
 	}
-	s := stored{key: v.Revision, doc: new(schema.Config)}
+	s := storedDocument{keyRevision: v.Revision, doc: new(schema.Config)}
 	if err := proto.Unmarshal(v.Value, s.doc); err != nil {
 		s.doc, s.unreadable = &schema.Config{}, true
 	}
 	return s, nil
 }
 
-// current reads the platform and returns the document that an intent starts from. A
-// read that was overtaken by another plan is repeated: its document looks older than
-// the one in force, though the platform is not.
-func (p *planner) current(ctx context.Context, i schema.Intent) (s stored, base *schema.Config, refusal *config.Refusal) {
-	for range maxReads {
+// loadBase reads the platform's document and returns the document to which an intent applies. If another
+// plan was applied during the read, loadBase repeats the read: the document that it read is older than the
+// one in force, although the platform's is not.
+func (p *planner) loadBase(ctx context.Context, i schema.Intent) (s storedDocument, base *schema.Config, refusal *config.Refusal) {
+	for range maxBaseReads {
 		before := p.state.config().Revision()
 		if s, refusal = p.read(ctx); refusal != nil {
 			return s, nil, refusal
 		}
-		base, refusal = p.base(s, i)
+		base, refusal = p.selectBase(s, i)
 		overtaken := s.doc.GetRevision() >= before && p.state.config().Revision() > s.doc.GetRevision()
 		if refusal == nil || !overtaken && refusal.Reason != config.EntryBehind {
 			break
 		}
-		clock.Sleep(ctx, rewritePause)
+		clock.Sleep(ctx, platformRetryPause)
 	}
 	return s, base, refusal
 }
 
-// base returns the document that an intent starts from.
-func (p *planner) base(s stored, i schema.Intent) (*schema.Config, *config.Refusal) {
-	p.state.offerConfig(s.doc) // this entry may be the first to see it
+// selectBase returns the document to which an intent applies, or a refusal if there is none.
+func (p *planner) selectBase(s storedDocument, i schema.Intent) (*schema.Config, *config.Refusal) {
+	p.state.updateConfig(s.doc) // this entry may be the first to read it
 	inForce := p.state.config().Document()
 	switch have := inForce.GetRevision(); {
-	case p.newestPeer() > have:
+	case p.newestPeerRevision() > have:
 		return nil, &config.Refusal{Reason: config.EntryBehind, Message: "a peer has a newer revision in force than this entry; ask again"}
 	case config.Action(i.Action) == config.Restore:
 		return p.restoreBase(s, inForce)
 	case s.unreadable:
-		return nil, &config.Refusal{Reason: config.Unreadable, Message: "the platform's document can't be decoded; plan restore writes back the one in force"}
+		return nil, &config.Refusal{Reason: config.Unreadable, Message: "the platform's document cannot be decoded; plan restore, which writes back the document in force"}
 	case s.doc.GetRevision() < have || config.Diverged(s.doc, inForce):
-		return nil, &config.Refusal{Reason: config.PlatformOlder, Message: "the platform's document is not the one in force, it came back older; plan restore first, which writes back the one in force"}
+		return nil, &config.Refusal{Reason: config.PlatformOlder, Message: "the platform's document is older than the one in force or differs from it; first plan restore, which writes back the document in force"}
 	}
 	return s.doc, nil
 }
 
-// restoreBase returns the document in force, to be written back.
-func (p *planner) restoreBase(s stored, inForce *schema.Config) (*schema.Config, *config.Refusal) {
+// restoreBase returns the document in force, which a restore writes back to the platform.
+func (p *planner) restoreBase(s storedDocument, inForce *schema.Config) (*schema.Config, *config.Refusal) {
 	if inForce.GetRevision() == 0 {
 		return nil, &config.Refusal{Reason: config.BadIntent, Message: "no configuration is in force at this entry"}
 	}
 	if s.doc.GetRevision() == inForce.GetRevision() && !config.Diverged(s.doc, inForce) {
-		return nil, &config.Refusal{Reason: config.BadIntent, Message: "the platform holds the document in force; there is nothing to restore"}
+		return nil, &config.Refusal{Reason: config.BadIntent, Message: "the platform has the document in force; there is nothing to restore"}
 	}
 	return inForce, nil
 }
 
-// plan returns what an intent would change. Nothing is kept.
+// plan computes what an intent would change. It stores nothing.
 func (p *planner) plan(ctx context.Context, operator string, i schema.Intent) (schema.Plan, *config.Refusal) {
-	s, base, refusal := p.current(ctx, i)
+	s, base, refusal := p.loadBase(ctx, i)
 	if refusal != nil {
 		return schema.Plan{}, refusal
 	}
-	step, refusal := config.NewUpdate(base, i)
+	update, refusal := config.NewUpdate(base, i)
 	if refusal != nil {
 		return schema.Plan{}, refusal
 	}
@@ -135,10 +137,10 @@
 		BaseRevision: base.GetRevision(),
 		Nonce:        config.NewNonce(),
 		Intent:       i,
-		Revision:     step.After.GetRevision(),
-		// What is restored changes against the platform's document.
-		Changes: config.Diff(s.doc, step.After),
-		Effects: config.ComputeEffects(base, step.After, p.state.vmList().GetVms(), p.load(ctx)),
+		Revision:     update.After.GetRevision(),
+		// The changes of a restore are those against the platform's document.
+		Changes: config.Diff(s.doc, update.After),
+		Effects: config.ComputeEffects(base, update.After, p.state.vmList().GetVms(), p.fleetLoad(ctx)),
 	}
 	out.Id = config.PlanID(i, out.BaseRevision, out.Nonce)
 	if r := config.CheckEffects(out.Effects, i); r != nil {
@@ -150,12 +152,12 @@
 	return out, nil
 }
 
-// confirm carries out a plan: exactly once, however often it is asked for.
+// confirm applies a plan exactly once, however often the operator confirms it.
 func (p *planner) confirm(ctx context.Context, operator string, c schema.Confirmation) schema.Outcome {
-	// An operator who gives up must not leave the write half followed up.
+	// If the operator disconnects, the entry must still find out whether the write took effect.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), confirmTimeout)
 	defer cancel()
-	out := p.carryOut(ctx, operator, c)
+	out := p.apply(ctx, operator, c)
 	p.metrics.count("confirmations", "outcome", out.Outcome)
 	if out.Reason != "" {
 		p.metrics.count("confirmation_refusals", "reason", out.Reason)
@@ -167,28 +169,29 @@
 	return out
 }
 
-func (p *planner) carryOut(ctx context.Context, operator string, c schema.Confirmation) schema.Outcome {
+// apply applies a confirmed plan, unless it has been applied before or must be refused.
+func (p *planner) apply(ctx context.Context, operator string, c schema.Confirmation) schema.Outcome {
 	if r := config.CheckConfirmation(c); r != nil {
-		return refused(r)
+		return refusedOutcome(r)
 	}
-	s, base, refusal := p.current(ctx, c.Intent)
-	// The reply to an earlier confirmation may have been lost.
+	s, base, refusal := p.loadBase(ctx, c.Intent)
+	// The operator may not have received the reply to an earlier confirmation.
 	if rec := p.findPlan(s.doc, c.Id); rec != nil {
-		return applied(rec, true)
+		return appliedOutcome(rec, true)
 	}
 	if refusal != nil {
-		return refused(refusal)
+		return refusedOutcome(refusal)
 	}
-	step, refusal := p.step(base, c)
+	update, refusal := p.recompute(base, c)
 	if refusal != nil {
-		return refused(refusal)
+		return refusedOutcome(refusal)
 	}
-	step.AddToHistory(c.Id, operator, c.Intent, time.Now().UnixMilli())
-	return p.write(ctx, s.key, step, c)
+	update.AddToHistory(c.Id, operator, c.Intent, time.Now().UnixMilli())
+	return p.write(ctx, s.keyRevision, update, c)
 }
 
-// findPlan looks for an applied plan in the platform's document and in the one in
-// force, which a platform that came back older has lost.
+// findPlan searches for an applied plan in the platform's document and in the one in force. The platform's
+// document may lack the plan if it was restored from an older copy.
 func (p *planner) findPlan(doc *schema.Config, id string) *schema.AppliedPlan {
 	if rec := config.FindPlan(doc, id); rec != nil {
 		return rec
@@ -196,83 +199,83 @@
 	return config.FindPlan(p.state.config().Document(), id)
 }
 
-// step computes the plan again and refuses it if its base moved.
-func (p *planner) step(base *schema.Config, c schema.Confirmation) (*config.Update, *config.Refusal) {
+// recompute computes the plan again. It refuses the plan if the base revision has changed.
+func (p *planner) recompute(base *schema.Config, c schema.Confirmation) (*config.Update, *config.Refusal) {
 	if r := config.CheckBaseRevision(base, c.BaseRevision); r != nil {
 		return nil, r
 	}
-	step, refusal := config.NewUpdate(base, c.Intent)
+	update, refusal := config.NewUpdate(base, c.Intent)
 	if refusal != nil {
 		return nil, refusal
 	}
-	effects := config.ComputeEffects(base, step.After, p.state.vmList().GetVms(), config.FleetLoad{})
-	return step, config.CheckEffects(effects, c.Intent)
+	effects := config.ComputeEffects(base, update.After, p.state.vmList().GetVms(), config.FleetLoad{})
+	return update, config.CheckEffects(effects, c.Intent)
 }
 
-// write writes the document by compare-and-swap. A write without a reply may have
-// taken effect, or may yet. It is sent again with the same expected revision, so at
-// most one of the copies takes effect; a conflict then means that one did, or that
-// another plan did, and the document's history tells which.
-func (p *planner) write(ctx context.Context, key uint64, step *config.Update, c schema.Confirmation) schema.Outcome {
-	b, err := proto.Marshal(step.After)
+// write writes the document by compare-and-swap. A write without a reply may have taken effect or may
+// still take effect. So write repeats it with the same expected revision: at most one of the copies takes
+// effect. A conflict then means that one of the copies or another plan took effect, and the document's
+// history shows which.
+func (p *planner) write(ctx context.Context, keyRevision uint64, update *config.Update, c schema.Confirmation) schema.Outcome {
+	b, err := proto.Marshal(update.After)
 	if err != nil {
-		return refused(&config.Refusal{Reason: config.BadIntent, Message: err.Error()})
+		return refusedOutcome(&config.Refusal{Reason: config.BadIntent, Message: err.Error()})
 	}
-	unanswered := false
+	replyLost := false
 	for ctx.Err() == nil {
-		switch err := p.swap(ctx, key, b); {
+		switch err := p.compareAndSwap(ctx, keyRevision, b); {
 		case err == nil:
-			return p.inForce(step.After, c.Id, unanswered)
+			return p.putInForce(update.After, c.Id, replyLost)
 		case errors.Is(err, platform.ErrConflict):
-			return p.afterConflict(ctx, c, unanswered)
+			return p.resolveConflict(ctx, c, replyLost)
 		}
-		unanswered = true
+		replyLost = true
 		p.metrics.count("platform_failures", "call", "confirm")
-		clock.Sleep(ctx, rewritePause)
+		clock.Sleep(ctx, platformRetryPause)
 	}
-	return unknown()
+	return unknownOutcome()
 }
 
-func (p *planner) swap(ctx context.Context, key uint64, b []byte) error {
+func (p *planner) compareAndSwap(ctx context.Context, keyRevision uint64, b []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
-	_, err := p.platform.CompareAndSwap(ctx, ConfigKey, key, b)
+	_, err := p.platform.CompareAndSwap(ctx, ConfigKey, keyRevision, b)
 	return err
 }
 
-// afterConflict tells whose write took effect.
-func (p *planner) afterConflict(ctx context.Context, c schema.Confirmation, unanswered bool) schema.Outcome {
+// resolveConflict determines whose write took effect.
+func (p *planner) resolveConflict(ctx context.Context, c schema.Confirmation, replyLost bool) schema.Outcome {
 	for ctx.Err() == nil {
 		s, refusal := p.read(ctx)
 		if refusal != nil {
-			clock.Sleep(ctx, rewritePause)
+			clock.Sleep(ctx, platformRetryPause)
 			continue
 		}
 		if rec := config.FindPlan(s.doc, c.Id); rec != nil {
-			return p.inForce(s.doc, c.Id, unanswered)
+			return p.putInForce(s.doc, c.Id, replyLost)
 		}
-		p.state.offerConfig(s.doc)
+		p.state.updateConfig(s.doc)
 		if r := config.CheckBaseRevision(s.doc, c.BaseRevision); r != nil {
-			return refused(r)
+			return refusedOutcome(r)
 		}
-		return refused(&config.Refusal{Reason: config.BaseRevisionChanged, Message: "the platform's document changed meanwhile; plan again"})
+		return refusedOutcome(&config.Refusal{Reason: config.BaseRevisionChanged, Message: "the platform's document has changed meanwhile; plan again"})
 	}
-	if unanswered {
-		return unknown()
+	if replyLost {
+		return unknownOutcome()
 	}
-	return refused(&config.Refusal{Reason: config.BaseRevisionChanged, Message: "another plan was applied first; what it changed can't be read now, the platform's service gives no answer; plan again"})
+	return refusedOutcome(&config.Refusal{Reason: config.BaseRevisionChanged, Message: "another plan was applied first; its changes cannot be read now because the platform's service does not answer; plan again"})
 }
 
-// inForce puts the written document in force here at once and tells the peers, so
-// that an entry that is cut off from the platform doesn't wait for a heartbeat.
-func (p *planner) inForce(doc *schema.Config, plan string, unanswered bool) schema.Outcome {
-	if p.state.offerConfig(doc) {
-		p.syncer.logInForce(doc, "confirmation")
+// putInForce puts the written document in force at this entry and announces it to the peers at once, so
+// that an entry that cannot reach the platform does not have to wait for the next heartbeat.
+func (p *planner) putInForce(doc *schema.Config, plan string, replyLost bool) schema.Outcome {
+	if p.state.updateConfig(doc) {
+		p.syncer.logConfigInForce(doc, "confirmation")
 	}
 	p.announce()
-	out := applied(config.FindPlan(doc, plan), false)
-	if unanswered {
-		out.Message += "; a reply of the platform was lost on the way, the plan was applied once"
+	out := appliedOutcome(config.FindPlan(doc, plan), false)
+	if replyLost {
+		out.Message += "; a reply of the platform was lost, and the plan was applied once"
 	}
 	return out
 }
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -1,3 +1,5 @@
+// Checks of the entry's settings.
+
 package entry
 
 import (
@@ -16,18 +18,19 @@
 	// minAnswerBytes and maxAnswerBytes bound --answer-bytes.
 	minAnswerBytes = 1 << 20
 	maxAnswerBytes = 64 << 30
-	// maxDomainName bounds the length of a failure domain's name.
+	// maxDomainName bounds the length of the name of a failure domain.
 	maxDomainName = 64
 )
 
-// durationBounds are the accepted values of one duration setting.
+// durationBounds holds the accepted values of a duration setting.
 type durationBounds struct {
 	flag      string
 	value     time.Duration
 	low, high time.Duration
 }
 
-// CheckSettings returns an error that names the flag and the accepted values.
+// CheckSettings returns an error for the first setting that is not accepted. The error names the flag, its
+// value and the accepted values.
 func CheckSettings(c schema.EntrySettings) error {
 	for _, check := range []func(schema.EntrySettings) error{
 		checkDomain, checkAddresses, checkPlatformURL, checkOperators, checkBounds,
@@ -39,7 +42,7 @@
 	return nil
 }
 
-// checkDomain keeps separators out of the name: racks are named "domain/rack".
+// checkDomain rejects separators in the name, because racks are named "domain/rack".
 func checkDomain(c schema.EntrySettings) error {
 	invalid := strings.ContainsFunc(c.Domain, func(r rune) bool {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
@@ -61,8 +64,8 @@
 			return errors.Newf("--%s is empty; accepted are IP:port", flag)
 		}
 	}
-	// The peer address is part of identifiers: peers connect to it, so it has to be
-	// one machine's, written in the one way that compares equal everywhere.
+	// The peer address is part of identifiers, and peers connect to it. So it must be the address of one
+	// machine, in the only form that compares equal at all entries.
 	if !dialable(c.PeerAddress) {
 		return errors.Newf("--peer-address is %s; accepted is the IP:port at which peers reach this entry, not an unspecified, multicast or zoned address", c.PeerAddress)
 	}
@@ -77,7 +80,7 @@
 	return nil
 }
 
-// dialable reports whether the address can be one machine's.
+// dialable reports whether the address can be that of one machine.
 func dialable(a netip.AddrPort) bool {
 	ip := a.Addr()
 	return a.IsValid() && !ip.IsUnspecified() && !ip.IsMulticast() && ip.Zone() == "" && !ip.Is4In6()
@@ -97,16 +100,16 @@
 }
 
 func checkOperators(c schema.EntrySettings) error {
-	holders := make(map[string]bool)
+	seen := make(map[string]bool)
 	for _, o := range c.Operators {
 		name, hash, ok := strings.Cut(o, ":")
 		if !ok || name == "" || !config.IsTokenHash(hash) {
 			return errors.Newf("--operators has %q; accepted are name:hash with the token's SHA-256 in 64 lower-case hexadecimal digits, separated by commas", o)
 		}
-		if holders[name] || holders[hash] {
-			return errors.Newf("--operators has the name or hash of %q twice; accepted is each once", name)
+		if seen[name] || seen[hash] {
+			return errors.Newf("--operators has the name or hash of %q more than once; accepted is each once", name)
 		}
-		holders[name], holders[hash] = true, true
+		seen[name], seen[hash] = true, true
 	}
 	return nil
 }
@@ -115,7 +118,7 @@
 	if c.AnswerBytes < minAnswerBytes || c.AnswerBytes > maxAnswerBytes {
 		return errors.Newf("--answer-bytes is %d; accepted are %d to %d", c.AnswerBytes, minAnswerBytes, int64(maxAnswerBytes))
 	}
-	for _, b := range bounds(c) {
+	for _, b := range durationSettings(c) {
 		if b.value < b.low || b.value > b.high {
 			return errors.Newf("--%s is %s; accepted are %s to %s", b.flag, b.value, b.low, b.high)
 		}
@@ -129,7 +132,7 @@
 	return nil
 }
 
-func bounds(c schema.EntrySettings) []durationBounds {
+func durationSettings(c schema.EntrySettings) []durationBounds {
 	return []durationBounds{
 		{"heartbeat-interval", c.HeartbeatInterval, 50 * time.Millisecond, 10 * time.Second},
 		{"peer-timeout", c.PeerTimeout, 150 * time.Millisecond, time.Minute},
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -1,3 +1,5 @@
+// The configuration and the VM list that are in force at this entry.
+
 package entry
 
 import (
@@ -7,7 +9,7 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// state is the configuration and the VM list in force. Both only move forward.
+// state holds the configuration and the VM list in force. It replaces either only by a newer one.
 type state struct {
 	mu       sync.RWMutex
 	index    *config.Index
@@ -19,7 +21,7 @@
 	return &state{index: config.NewIndex(&schema.Config{}), vms: &schema.VmList{}}
 }
 
-// subscribe calls fn after each change.
+// subscribe registers fn to be called after each change.
 func (s *state) subscribe(fn func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,16 +35,16 @@
 	return s.index
 }
 
-// vmList returns the newest VM list seen.
+// vmList returns the newest VM list that this entry has received.
 func (s *state) vmList() *schema.VmList {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.vms
 }
 
-// offerConfig puts a document in force if it is newer. A lower revision is never
-// taken: a store or a peer that comes back older would undo what was accepted.
-func (s *state) offerConfig(c *schema.Config) bool {
+// updateConfig puts a document in force if it is newer, and reports whether it was. It never accepts a lower
+// revision: a platform or peer that was restored from an older copy would revert confirmed changes.
+func (s *state) updateConfig(c *schema.Config) bool {
 	s.mu.Lock()
 	newer := c.GetRevision() > s.index.Revision()
 	if newer {
@@ -50,13 +52,13 @@
 	}
 	s.mu.Unlock()
 	if newer {
-		s.changed()
+		s.notifySubscribers()
 	}
 	return newer
 }
 
-// offerVMs takes a VM list if it is newer.
-func (s *state) offerVMs(l *schema.VmList) bool {
+// updateVMs stores a VM list if it is newer, and reports whether it was.
+func (s *state) updateVMs(l *schema.VmList) bool {
 	s.mu.Lock()
 	newer := l.GetVersion() > s.vms.GetVersion()
 	if newer {
@@ -64,12 +66,12 @@
 	}
 	s.mu.Unlock()
 	if newer {
-		s.changed()
+		s.notifySubscribers()
 	}
 	return newer
 }
 
-func (s *state) changed() {
+func (s *state) notifySubscribers() {
 	s.mu.RLock()
 	subscribers := s.onChange
 	s.mu.RUnlock()
@@ -78,8 +80,8 @@
 	}
 }
 
-// lacks says what is missing before work can be taken; empty when nothing is.
-func (s *state) lacks() string {
+// missing returns what this entry still needs before it can run jobs, or "" if nothing is missing.
+func (s *state) missing() string {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	switch {
--- a/internal/entry/workers.go
+++ b/internal/entry/workers.go
@@ -1,3 +1,5 @@
+// The workers: the list that the scheduler gets, and the workers that have announced that they are leaving.
+
 package entry
 
 import (
@@ -13,8 +15,7 @@
 	"github.com/lavendercleat/lavendercleat/slot"
 )
 
-// workers derives the scheduler's list of workers from the VM list, the
-// configuration and the members.
+// workers computes the scheduler's list of workers from the VM list, the configuration and the members.
 type workers struct {
 	clock      *clock.Clock
 	state      *state
@@ -23,40 +24,40 @@
 	client     *backend.Client
 	domain     string
 
-	// updating keeps an older list from being put in place after a newer one: a worker
-	// just marked as leaving would get work again.
-	updating sync.Mutex
+	// updateMu prevents an older list from replacing a newer one. Otherwise a worker that was just marked as
+	// leaving would get tasks again.
+	updateMu sync.Mutex
 
 	mu      sync.Mutex
 	leaving *member.LeavingWorkers
 }
 
-// update recomputes the list.
+// update computes the list again and passes it to the scheduler.
 func (w *workers) update() {
-	w.updating.Lock()
-	defer w.updating.Unlock()
+	w.updateMu.Lock()
+	defer w.updateMu.Unlock()
 	index := w.state.config()
 	vms := w.state.vmList()
-	w.takeList(vms)
+	w.applyVMList(vms)
 	list := make([]sched.Worker, 0, len(vms.GetVms()))
 	keep := make(map[string]bool, len(vms.GetVms()))
 	for _, vm := range vms.GetVms() {
 		if vm.GetRole() == schema.VmRole_VM_ROLE_WORKER {
 			keep[vm.GetAddress()] = true
-			list = append(list, w.worker(vm, index))
+			list = append(list, w.schedWorker(vm, index))
 		}
 	}
 	w.client.CloseUnlisted(keep)
 	w.dispatcher.step(func(now time.Duration) { w.dispatcher.sched.SetWorkers(now, list) })
 }
 
-// worker returns a VM as the scheduler sees it.
-func (w *workers) worker(vm *schema.Vm, index *config.Index) sched.Worker {
+// schedWorker converts a VM to a worker of the scheduler.
+func (w *workers) schedWorker(vm *schema.Vm, index *config.Index) sched.Worker {
 	s := sched.Worker{
 		Address:   vm.GetAddress(),
 		Domain:    vm.GetDomain(),
 		Total:     int(vm.GetSlots()),
-		Resources: resources(vm.GetResources()),
+		Resources: resourcesFromProto(vm.GetResources()),
 		Drained:   vm.GetLeaving() || w.isLeaving(vm.GetAddress()) || index.Drained(vm),
 	}
 	if vm.GetDomain() == w.domain {
@@ -65,12 +66,12 @@
 	return s
 }
 
-func resources(r *schema.Resources) sched.Resources {
+func resourcesFromProto(r *schema.Resources) sched.Resources {
 	return sched.Resources{CPUs: r.GetCpus(), MemoryMB: r.GetMemoryMb(), Accelerators: r.GetAccelerators()}
 }
 
-// takeList lets the VM list end notices of leaving workers.
-func (w *workers) takeList(l *schema.VmList) {
+// applyVMList removes the notices of leaving workers that the VM list ends.
+func (w *workers) applyVMList(l *schema.VmList) {
 	listed := make(map[string]bool, len(l.GetVms()))
 	for _, vm := range l.GetVms() {
 		if vm.GetRole() == schema.VmRole_VM_ROLE_WORKER {
@@ -88,7 +89,7 @@
 	return w.leaving.Has(address)
 }
 
-// leavingList returns the workers that said that they are leaving.
+// leavingList returns the workers that have announced that they are leaving.
 func (w *workers) leavingList() []*schema.LeavingWorker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -99,13 +100,13 @@
 	return list
 }
 
-// markLeaving notes a worker that said to this entry that it is leaving.
+// markLeaving records a worker that has announced to this entry that it is leaving.
 func (w *workers) markLeaving(worker string) {
-	w.takeLeaving([]*schema.LeavingWorker{{Address: worker}})
+	w.handleLeaving([]*schema.LeavingWorker{{Address: worker}})
 }
 
-// takeLeaving notes workers that said that they are leaving.
-func (w *workers) takeLeaving(list []*schema.LeavingWorker) {
+// handleLeaving records workers that have announced that they are leaving.
+func (w *workers) handleLeaving(list []*schema.LeavingWorker) {
 	w.mu.Lock()
 	changed := false
 	for _, l := range list {
