--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -61,16 +61,16 @@
 }
 
 // mark returns the count of writes, to be compared by seal.
-func (c *trackedConn) mark() int {
+func (c *trackedConn) writeCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
 // seal forbids further writes and tells whether something may have been sent since mark.
-func (c *trackedConn) seal(mark int) (sent bool) {
+func (c *trackedConn) seal(writesBefore int) (sent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
-	return c.writes != mark
+	return c.writes != writesBefore
 }
--- a/internal/clock/pause.go
+++ b/internal/clock/pause.go
@@ -12,13 +12,13 @@
 	PauseThreshold = time.Second
 	// drainTime is the time after a pause within which requests that waited unread in
 	// the sockets are read, by a process that gets the processor when it needs it.
-	drainTime = time.Second
+	drainDuration = time.Second
 	// drainSlack is how late a beat may be by which the process still counts as getting
 	// the processor: ten times the time between beats.
-	drainSlack = 100 * time.Millisecond
+	maxTickDelay = 100 * time.Millisecond
 	// maxDrain bounds the drain of a process that never gets the processor in time: until
 	// its end, what has just come counts as old, and most of it is refused.
-	maxDrain = 5 * time.Second
+	maxDrainDuration = 5 * time.Second
 )
 
 // PauseDetector notices pauses of the process, so that requests which waited unread meanwhile
@@ -27,17 +27,17 @@
 type PauseDetector struct {
 	mu sync.Mutex
 	// beat is the time of the latest beat.
-	beat time.Duration
+	lastTick time.Duration
 	// paused is when the latest pause began, woken when it ended. drained is by when what
 	// waited meanwhile has been read.
-	paused, woken, drained time.Duration
+	pauseStart, pauseEnd, drainEnd time.Duration
 }
 
 // Tick tells that the process runs; call it many times within a second.
 func (p *PauseDetector) Tick(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.step(now)
+	p.update(now)
 }
 
 // EarliestArrival returns the earliest time at which a request that is read now may have
@@ -45,26 +45,26 @@
 func (p *PauseDetector) EarliestArrival(now time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.step(now) // on waking, a request may be read before the next beat
-	if now < p.drained {
-		return p.paused
+	p.update(now) // on waking, a request may be read before the next beat
+	if now < p.drainEnd {
+		return p.pauseStart
 	}
 	return now
 }
 
-func (p *PauseDetector) step(now time.Duration) {
-	late, draining := now-p.beat, p.beat < p.drained
+func (p *PauseDetector) update(now time.Duration) {
+	late, draining := now-p.lastTick, p.lastTick < p.drainEnd
 	switch {
 	case late > PauseThreshold:
 		// A pause that begins before the sockets are read doesn't end the one before: what
 		// waited since then would be started after its time.
 		if !draining {
-			p.paused = p.beat
+			p.pauseStart = p.lastTick
 		}
-		p.woken, p.drained = now, now+drainTime
-	case late > drainSlack && draining:
+		p.pauseEnd, p.drainEnd = now, now+drainDuration
+	case late > maxTickDelay && draining:
 		// Beside other processes a beat comes late, and so does the reading of requests.
-		p.drained = min(now+drainTime, max(p.drained, p.woken+maxDrain))
+		p.drainEnd = min(now+drainDuration, max(p.drainEnd, p.pauseEnd+maxDrainDuration))
 	}
-	p.beat = max(p.beat, now)
+	p.lastTick = max(p.lastTick, now)
 }
--- a/internal/httpstop/httpstop.go
+++ b/internal/httpstop/httpstop.go
@@ -15,7 +15,7 @@
 )
 
 // look is the time between two looks at the connections during a stop.
-const look = 5 * time.Millisecond
+const pollInterval = 5 * time.Millisecond
 
 // Server is an HTTP server with a stop of its own. Its handler is to answer with "Connection:
 // close" from the stop's beginning on, so that callers on open connections go elsewhere.
@@ -25,13 +25,13 @@
 	mu        sync.Mutex
 	listener  net.Listener
 	conns     map[net.Conn]http.ConnState
-	listening bool
+	accepting bool
 }
 
 // New returns a server; s must not be used otherwise from then on.
 func New(s *http.Server) *Server {
 	n := &Server{http: s, conns: make(map[net.Conn]http.ConnState)}
-	s.ConnState = n.follow
+	s.ConnState = n.trackState
 	return n
 }
 
@@ -39,12 +39,12 @@
 func (s *Server) Serve(l net.Listener) error {
 	l = &onceListener{Listener: l}
 	s.mu.Lock()
-	s.listener, s.listening = l, true
+	s.listener, s.accepting = l, true
 	s.mu.Unlock()
 	err := s.http.Serve(l)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.listening {
+	if !s.accepting {
 		return http.ErrServerClosed
 	}
 	return err
@@ -64,7 +64,7 @@
 	return l.err
 }
 
-func (s *Server) follow(c net.Conn, state http.ConnState) {
+func (s *Server) trackState(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if state == http.StateClosed || state == http.StateHijacked {
@@ -79,7 +79,7 @@
 // answer, as HTTP/1.1 has no word for it: its caller sends it again.
 func (s *Server) Stop(ctx context.Context) error {
 	err := s.closeListener()
-	t := time.NewTicker(look)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for s.closeIdle() > 0 && ctx.Err() == nil {
 		select {
@@ -96,10 +96,10 @@
 func (s *Server) closeListener() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.listening {
+	if !s.accepting {
 		return nil
 	}
-	s.listening = false
+	s.accepting = false
 	return s.listener.Close()
 }
 
@@ -130,11 +130,11 @@
 		return false // it is closed already
 	}
 	var n int
-	var failed error
+	var recvErr error
 	// Control, not Read: the server's own read holds the lock of reads for as long as it waits.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
-		n, _, failed = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, recvErr = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
-	return err == nil && failed == nil && n > 0
+	return err == nil && recvErr == nil && n > 0
 }
--- a/internal/mesh/link.go
+++ b/internal/mesh/link.go
@@ -22,7 +22,7 @@
 	wake    chan struct{}
 
 	// order keeps calls of the handler for this peer in order; taken before mu.
-	order sync.Mutex
+	deliveryMu sync.Mutex
 
 	mu sync.Mutex
 	// peer is the process on the other side; its incarnation is 0 while unknown.
@@ -34,47 +34,47 @@
 	// to count for itself, one loss could have both drop their state by turns for ever.
 	session uint64
 	// connected is the incarnation that our connection reached, 0 without one.
-	connected uint64
-	conn      net.Conn
-	outbox    []*schema.Frame
+	connectedTo uint64
+	conn        net.Conn
+	outbox      []*schema.Frame
 	// sent is how many of the outbox were written on this connection.
-	sent    int
-	next    uint64
-	arrived uint64
+	writtenCount int
+	lastNumber   uint64
+	lastReceived uint64
 	// echoed is when the latest echo of one of our pulses was sent by us; echo is the
 	// peer's latest pulse.
-	echoed, echo int64
+	lastEchoed, echoNext int64
 	// interval is the time between the peer's heartbeats.
-	interval time.Duration
+	peerInterval time.Duration
 	// told is the number of the heartbeat last written on this connection; 0: none.
-	told uint64
+	lastHeartbeat uint64
 	// dialed is when the connection was made, lost when the last session ended: an echo
 	// of an older pulse doesn't show that messages pass now.
-	dialed, lost int64
+	connectedAt, sessionEndedAt int64
 	// lastNamed is when something last named this address.
 	lastNamed time.Time
 	// ackDue: the peer waits for an acknowledgement.
 	ackDue bool
 	// pulseDue asks for a heartbeat at once: the link comes up by it.
-	pulseDue bool
+	heartbeatDue bool
 	// failed: an attempt to reach the peer has failed.
-	failed bool
+	attemptFailed bool
 	// parted: the daemon is not to be linked any more.
-	parted bool
+	excluded bool
 	// elder: the peer had been there for a while when it greeted.
-	elder bool
+	established bool
 	// redial asks for a dial without a pause; stopDial ends the one that began at dialing,
 	// nil when there is none.
-	redial   chan struct{}
-	stopDial func()
-	dialing  time.Time
+	redialNow   chan struct{}
+	cancelDial  func()
+	dialStarted time.Time
 }
 
 func newLink(m *Mesh, a netip.AddrPort) *link {
-	return &link{mesh: m, address: a, wake: make(chan struct{}, 1), redial: make(chan struct{}, 1), session: 1, lastNamed: time.Now(), interval: pulseInterval}
+	return &link{mesh: m, address: a, wake: make(chan struct{}, 1), redialNow: make(chan struct{}, 1), session: 1, lastNamed: time.Now(), peerInterval: defaultHeartbeatInterval}
 }
 
-func (l *link) named() {
+func (l *link) markNamed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastNamed = time.Now()
@@ -86,26 +86,26 @@
 	if l.conn != nil {
 		l.conn.Close()
 	}
-	l.poke()
+	l.wakeWriter()
 }
 
 // part ends the link for good.
-func (l *link) part() {
+func (l *link) exclude() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.parted = true
+	l.excluded = true
 	if l.conn != nil {
 		l.conn.Close()
 	}
 }
 
-func (l *link) isParted() bool {
+func (l *link) isExcluded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.parted
+	return l.excluded
 }
 
-func (l *link) poke() {
+func (l *link) wakeWriter() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -125,34 +125,34 @@
 	if !l.up || l.peer.Incarnation != incarnation {
 		return
 	}
-	l.next++
-	f.Number = l.next
+	l.lastNumber++
+	f.Number = l.lastNumber
 	l.outbox = append(l.outbox, f)
-	l.poke()
+	l.wakeWriter()
 }
 
 // run dials and writes until the mesh closes or the peer is forgotten.
 func (l *link) run() {
 	for l.mesh.ctx.Err() == nil {
 		err := l.connect()
-		if errors.Is(err, errBehind) {
+		if errors.Is(err, errStaleSession) {
 			continue
 		}
 		l.mu.Lock()
-		l.failed = l.failed || err != nil
+		l.attemptFailed = l.attemptFailed || err != nil
 		l.mu.Unlock()
-		if errors.Is(err, syscall.ECONNREFUSED) || l.isParted() {
-			l.lose(true)
+		if errors.Is(err, syscall.ECONNREFUSED) || l.isExcluded() {
+			l.endSession(true)
 		}
-		l.checkSilence()
-		if l.forgotten() || l.isParted() {
-			l.mesh.forget(l)
+		l.checkTimeout()
+		if l.expired() || l.isExcluded() {
+			l.mesh.removeLink(l)
 			return
 		}
 		select {
 		case <-l.mesh.ctx.Done():
-		case <-l.redial:
-		case <-time.After(redialPause):
+		case <-l.redialNow:
+		case <-time.After(redialInterval):
 		}
 	}
 }
@@ -163,44 +163,44 @@
 	ctx, cancel := context.WithCancel(l.mesh.ctx)
 	defer cancel()
 	l.mu.Lock()
-	l.stopDial, l.dialing = cancel, time.Now()
+	l.cancelDial, l.dialStarted = cancel, time.Now()
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		l.stopDial = nil
+		l.cancelDial = nil
 		l.mu.Unlock()
 	}()
 	return l.mesh.dialer.DialContext(ctx, "tcp4", l.address.String())
 }
 
 // peerDialed has the peer, which is surely there now, dialed at once. The link is locked.
-func (l *link) peerDialed() {
-	if l.conn != nil || l.stopDial != nil && time.Since(l.dialing) < staleDial {
+func (l *link) dialNow() {
+	if l.conn != nil || l.cancelDial != nil && time.Since(l.dialStarted) < staleDialAge {
 		return
 	}
-	if l.stopDial != nil {
-		l.stopDial()
+	if l.cancelDial != nil {
+		l.cancelDial()
 	}
 	select {
-	case l.redial <- struct{}{}:
+	case l.redialNow <- struct{}{}:
 	default:
 	}
 }
 
-func (l *link) isElder() bool {
+func (l *link) isEstablished() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.elder
+	return l.established
 }
 
-func (l *link) forgotten() bool {
+func (l *link) expired() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.up && time.Since(l.lastNamed) > forgetAfter
+	return !l.up && time.Since(l.lastNamed) > forgetTimeout
 }
 
 // errBehind: the greeting carried a session that has ended; the next one follows at once.
-var errBehind = errors.New("the session has ended")
+var errStaleSession = errors.New("the session has ended")
 
 // connect dials, greets and writes until the connection is given up.
 func (l *link) connect() error {
@@ -210,20 +210,20 @@
 	}
 	defer c.Close()
 	l.mu.Lock()
-	hello := l.mesh.greeting(l.session)
+	hello := l.mesh.identity(l.session)
 	l.mu.Unlock()
 	_ = c.SetDeadline(time.Now().Add(writeTimeout))
 	if _, err := protodelim.MarshalTo(c, &schema.Frame{Body: &schema.Frame_Hello{Hello: hello}}); err != nil {
 		return err
 	}
 	r := bufio.NewReaderSize(c, 512)
-	answer, err := readHello(r)
+	reply, err := readHello(r)
 	if err != nil {
 		return err
 	}
 	_ = c.SetDeadline(time.Time{})
-	if !l.reached(answer, hello.GetSession(), c) {
-		return errBehind
+	if !l.handleHelloReply(reply, hello.GetSession(), c) {
+		return errStaleSession
 	}
 	broken := make(chan struct{})
 	l.mesh.wg.Go(func() {
@@ -234,7 +234,7 @@
 		c.Close()
 		<-broken
 		l.mu.Lock()
-		l.conn, l.connected = nil, 0
+		l.conn, l.connectedTo = nil, 0
 		l.mu.Unlock()
 	}()
 	return l.write(c, broken)
@@ -247,14 +247,14 @@
 	tick := time.NewTimer(0)
 	defer tick.Stop()
 	for {
-		pulse := !time.Now().Before(due)
-		if pulse {
-			due = time.Now().Add(l.mesh.nextPulse())
+		heartbeat := !time.Now().Before(due)
+		if heartbeat {
+			due = time.Now().Add(l.mesh.untilNextHeartbeat())
 		}
-		if err := l.flush(c, w, pulse); err != nil {
+		if err := l.flush(c, w, heartbeat); err != nil {
 			return err
 		}
-		tick.Reset(min(time.Until(due), l.redialIn()))
+		tick.Reset(min(time.Until(due), l.untilRedial()))
 		select {
 		case <-l.mesh.ctx.Done():
 			return nil
@@ -262,7 +262,7 @@
 			return nil
 		case <-l.wake:
 		case <-tick.C:
-			if l.redialIn() <= 0 {
+			if l.untilRedial() <= 0 {
 				return nil
 			}
 		}
@@ -270,22 +270,22 @@
 }
 
 // flush writes what is queued, and a pulse.
-func (l *link) flush(c net.Conn, w *bufio.Writer, pulse bool) error {
-	var common []byte
-	pulse = l.takePulseDue() || pulse
-	if pulse {
+func (l *link) flush(c net.Conn, w *bufio.Writer, heartbeat bool) error {
+	var shared []byte
+	heartbeat = l.takeHeartbeatDue() || heartbeat
+	if heartbeat {
 		var err error
-		if common, err = l.heartbeat(); err != nil {
+		if shared, err = l.sharedHeartbeat(); err != nil {
 			return err
 		}
 	}
 	l.mu.Lock()
-	frames := l.outbox[min(l.sent, len(l.outbox)):]
-	l.sent = len(l.outbox)
-	ack := l.arrived
+	frames := l.outbox[min(l.writtenCount, len(l.outbox)):]
+	l.writtenCount = len(l.outbox)
+	ack := l.lastReceived
 	needsAck := l.ackDue
 	l.ackDue = false
-	echo := l.echo
+	echo := l.echoNext
 	l.mu.Unlock()
 	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	for _, f := range frames {
@@ -295,8 +295,8 @@
 		}
 	}
 	switch {
-	case pulse:
-		if err := writePulse(w, common, ack, l.mesh.clock(), echo); err != nil {
+	case heartbeat:
+		if err := writeHeartbeat(w, shared, ack, l.mesh.uptimeMs(), echo); err != nil {
 			return err
 		}
 	case needsAck && len(frames) == 0:
@@ -307,57 +307,57 @@
 
 // heartbeat returns the common part of a heartbeat for what was written before on this
 // connection. A write that fails ends the connection, so what it left out isn't missed.
-func (l *link) heartbeat() ([]byte, error) {
+func (l *link) sharedHeartbeat() ([]byte, error) {
 	l.mu.Lock()
-	has := l.told
+	base := l.lastHeartbeat
 	l.mu.Unlock()
-	b, number, err := l.mesh.pulse.get(l.mesh.handler, has)
+	b, number, err := l.mesh.heartbeats.get(l.mesh.handler, base)
 	l.mu.Lock()
-	l.told = number
+	l.lastHeartbeat = number
 	l.mu.Unlock()
 	return b, err
 }
 
-func (l *link) takePulseDue() bool {
+func (l *link) takeHeartbeatDue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	due := l.pulseDue
-	l.pulseDue = false
+	due := l.heartbeatDue
+	l.heartbeatDue = false
 	return due
 }
 
-func (l *link) settled() bool {
+func (l *link) tried() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.up || l.failed
+	return l.up || l.attemptFailed
 }
 
 // silentFor is the age of the latest pulse of ours that the peer echoed.
-func (l *link) silentFor() time.Duration {
+func (l *link) sinceLastEcho() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Duration(l.mesh.clock()-l.echoed) * time.Millisecond
+	return time.Duration(l.mesh.uptimeMs()-l.lastEchoed) * time.Millisecond
 }
 
 // redialIn is the time until the connection has been silent for too long: our heartbeats
 // are echoed with the peer's next ones.
-func (l *link) redialIn() time.Duration {
-	own := l.mesh.pulse.interval()
+func (l *link) untilRedial() time.Duration {
+	own := l.mesh.heartbeats.interval()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	silent := time.Duration(l.mesh.clock()-max(l.echoed, l.dialed)) * time.Millisecond
-	return own + l.interval + redialSlack - silent
+	silent := time.Duration(l.mesh.uptimeMs()-max(l.lastEchoed, l.connectedAt)) * time.Millisecond
+	return own + l.peerInterval + redialSlack - silent
 }
 
 // checkSilence counts a peer as lost that has not echoed for PeerTimeout.
-func (l *link) checkSilence() {
-	if _, up := l.peerIfUp(); up && l.silentFor() > PeerTimeout {
-		l.lose(false)
+func (l *link) checkTimeout() {
+	if _, up := l.peerIfUp(); up && l.sinceLastEcho() > PeerTimeout {
+		l.endSession(false)
 	}
 }
 
 // incomingBroke looks at once whether the peer is still there.
-func (l *link) incomingBroke() {
+func (l *link) closeOutgoing() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil {
@@ -366,9 +366,9 @@
 }
 
 // pulseNow sends a heartbeat at once.
-func (l *link) pulseNow() {
+func (l *link) sendHeartbeatNow() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.pulseDue = true
-	l.poke()
+	l.heartbeatDue = true
+	l.wakeWriter()
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -29,20 +29,20 @@
 	// stopped then, which has to be over before its callers submit again.
 	PeerTimeout = 900 * time.Millisecond
 	// redialPause is the pause between attempts to reach a peer.
-	redialPause = 100 * time.Millisecond
+	redialInterval = 100 * time.Millisecond
 	// forgetAfter is how long a lost peer is dialed that nothing names any more.
-	forgetAfter = 20 * time.Second
-	dialTimeout = 400 * time.Millisecond
+	forgetTimeout = 20 * time.Second
+	dialTimeout   = 400 * time.Millisecond
 	// staleDial is the age from which a dial is begun anew when its peer dials us: the peer
 	// was without power when it began, and packets to it were lost. Without that the peer
 	// waits up to dialTimeout for our side of the link after it is back, and then lets
 	// callers wait for workers.
-	staleDial = 20 * time.Millisecond
+	staleDialAge = 20 * time.Millisecond
 	// StartingPeriod is how long a process counts as one that has just started. Daemons that lost
 	// power together are back within 0.3 s of each other.
 	StartingPeriod = time.Second
 	// maxFrame bounds one frame in bytes.
-	maxFrame = 8 << 20
+	maxFrameBytes = 8 << 20
 )
 
 // Peer is another daemon's process.
@@ -82,12 +82,12 @@
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
 
-	pulse pulseCache
+	heartbeats heartbeatCache
 
 	mu    sync.Mutex
 	links map[netip.AddrPort]*link
 	// linked tells which daemons to link; nil for all.
-	linked func(netip.AddrPort) bool
+	allowed func(netip.AddrPort) bool
 }
 
 // New returns a mesh that links nobody yet. Peers reach it at self's address; it listens
@@ -131,7 +131,7 @@
 // AddPeers adds daemons that may be linked, by address.
 func (m *Mesh) AddPeers(addresses ...netip.AddrPort) {
 	for _, a := range addresses {
-		m.link(a).named()
+		m.link(a).markNamed()
 	}
 }
 
@@ -145,19 +145,19 @@
 	}
 	m.mu.Unlock()
 	for _, l := range links {
-		l.lose(false)
+		l.endSession(false)
 	}
 }
 
 // RestrictPeers links only daemons for which linked is true from now on. Links to others end,
 // as if their processes were gone.
-func (m *Mesh) RestrictPeers(linked func(netip.AddrPort) bool) {
+func (m *Mesh) RestrictPeers(allowed func(netip.AddrPort) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.linked = linked
+	m.allowed = allowed
 	for a, l := range m.links {
-		if !linked(a) {
-			l.part()
+		if !allowed(a) {
+			l.exclude()
 		}
 	}
 }
@@ -190,7 +190,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range m.links {
-		if !l.settled() {
+		if !l.tried() {
 			return false
 		}
 	}
@@ -202,7 +202,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	l := m.links[a]
-	if l == nil && a != m.address && m.ctx.Err() == nil && (m.linked == nil || m.linked(a)) {
+	if l == nil && a != m.address && m.ctx.Err() == nil && (m.allowed == nil || m.allowed(a)) {
 		l = newLink(m, a)
 		m.links[a] = l
 		m.wg.Go(l.run)
@@ -213,7 +213,7 @@
 	return l
 }
 
-func (m *Mesh) forget(l *link) {
+func (m *Mesh) removeLink(l *link) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.links[l.address] == l {
@@ -228,7 +228,7 @@
 			if m.ctx.Err() != nil {
 				return
 			}
-			time.Sleep(redialPause) // out of descriptors, or the connection is gone already
+			time.Sleep(redialInterval) // out of descriptors, or the connection is gone already
 			continue
 		}
 		m.wg.Go(func() { m.serve(c) })
@@ -251,16 +251,16 @@
 		return
 	}
 	l := m.link(a)
-	session, ok := l.greeted(hello)
-	answer := m.greeting(session)
-	if _, err := protodelim.MarshalTo(c, &schema.Frame{Body: &schema.Frame_Hello{Hello: answer}}); err != nil || !ok {
+	session, ok := l.handleHello(hello)
+	reply := m.identity(session)
+	if _, err := protodelim.MarshalTo(c, &schema.Frame{Body: &schema.Frame_Hello{Hello: reply}}); err != nil || !ok {
 		return
 	}
 	l.serve(session, c, r)
 }
 
 // greeting names this daemon and the session that it is in.
-func (m *Mesh) greeting(session uint64) *schema.Identity {
+func (m *Mesh) identity(session uint64) *schema.Identity {
 	return &schema.Identity{
 		Address: m.self.Address, Incarnation: m.self.Incarnation, Name: m.self.Name, Domain: m.self.Domain,
 		MilliCores: m.self.MilliCores, Session: session, Young: time.Since(m.started) < StartingPeriod,
@@ -274,7 +274,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range m.links {
-		if l.isElder() {
+		if l.isEstablished() {
 			return true
 		}
 	}
@@ -283,7 +283,7 @@
 
 func readFrame(r *bufio.Reader) (*schema.Frame, error) {
 	f := new(schema.Frame)
-	err := protodelim.UnmarshalOptions{MaxSize: maxFrame}.UnmarshalFrom(r, f)
+	err := protodelim.UnmarshalOptions{MaxSize: maxFrameBytes}.UnmarshalFrom(r, f)
 	return f, err
 }
 
@@ -299,4 +299,4 @@
 }
 
 // clock returns the time since the start in ms, for pulses and their echoes; never 0.
-func (m *Mesh) clock() int64 { return time.Since(m.started).Milliseconds() + 1 }
+func (m *Mesh) uptimeMs() int64 { return time.Since(m.started).Milliseconds() + 1 }
--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -17,14 +17,14 @@
 	// handshakeTimeout bounds the making of a connection.
 	handshakeTimeout = 2 * time.Second
 	// maxStreams bounds the calls in progress of one peer.
-	maxStreams = 10_000
+	maxIncomingStreams = 10_000
 )
 
 func quicConfig() *quic.Config {
 	return &quic.Config{
 		MaxIdleTimeout:       silenceTimeout,
 		HandshakeIdleTimeout: handshakeTimeout,
-		MaxIncomingStreams:   maxStreams,
+		MaxIncomingStreams:   maxIncomingStreams,
 	}
 }
 
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -11,7 +11,7 @@
 
 var (
 	// errDown: the peer could not be reached lately.
-	errDown = errors.New("the peer can't be reached now")
+	errUnreachable = errors.New("the peer can't be reached now")
 	// errLinkClosed: the connection was closed while it was made.
 	errLinkClosed = errors.New("the peer is no longer called")
 )
@@ -20,33 +20,33 @@
 type link struct {
 	dial func() (*quic.Conn, error)
 
-	mu   sync.Mutex
-	conn *quic.Conn
-	made time.Time
+	mu          sync.Mutex
+	conn        *quic.Conn
+	connectedAt time.Time
 	// attempt is the making of a connection in progress, nil when there is none.
-	attempt *attempt
+	attempt *dialAttempt
 	// down is set from the loss of a connection, or the failure to make one, until one
 	// is made.
-	down   bool
-	closed bool
+	unreachable bool
+	closed      bool
 	// calls counts the calls in progress, used is the end of the latest.
-	calls int
-	used  time.Time
+	calls    int
+	lastUsed time.Time
 }
 
 // begin counts a call as in progress, which keeps closeIdle from closing its connection.
-func (l *link) begin() {
+func (l *link) beginCall() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
 }
 
 // end counts a call as over and starts the idle time anew.
-func (l *link) end() {
+func (l *link) endCall() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls--
-	l.used = time.Now()
+	l.lastUsed = time.Now()
 }
 
 // closeIdle closes a connection that no call has used for some time. The link does not
@@ -54,7 +54,7 @@
 func (l *link) closeIdle(after time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.conn == nil || l.calls > 0 || time.Since(l.used) < after {
+	if l.conn == nil || l.calls > 0 || time.Since(l.lastUsed) < after {
 		return
 	}
 	conn := l.conn
@@ -63,7 +63,7 @@
 }
 
 // attempt is one making of a connection; conn and err are valid once done is closed.
-type attempt struct {
+type dialAttempt struct {
 	done chan struct{}
 	conn *quic.Conn
 	err  error
@@ -73,7 +73,7 @@
 // attempt, each no longer than its own context: attempts of their own, one after the
 // other, would let the last of many callers of a silent peer wait for all of them.
 func (l *link) connect(ctx context.Context) (*quic.Conn, error) {
-	conn, a, _ := l.current()
+	conn, a, _ := l.connOrAttempt()
 	if conn != nil {
 		return conn, nil
 	}
@@ -82,17 +82,17 @@
 
 // connectReachable is connect that does not wait while the peer is down.
 func (l *link) connectReachable(ctx context.Context) (*quic.Conn, error) {
-	conn, a, down := l.current()
+	conn, a, down := l.connOrAttempt()
 	switch {
 	case conn != nil:
 		return conn, nil
 	case down:
-		return nil, errDown
+		return nil, errUnreachable
 	}
 	return a.wait(ctx)
 }
 
-func (a *attempt) wait(ctx context.Context) (*quic.Conn, error) {
+func (a *dialAttempt) wait(ctx context.Context) (*quic.Conn, error) {
 	select {
 	case <-a.done:
 		return a.conn, a.err
@@ -103,27 +103,27 @@
 
 // current returns the live connection, or else the attempt in progress, started if
 // need be, and whether the peer could not be reached lately.
-func (l *link) current() (conn *quic.Conn, a *attempt, down bool) {
+func (l *link) connOrAttempt() (conn *quic.Conn, a *dialAttempt, down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil && l.conn.Context().Err() == nil {
 		return l.conn, nil, false
 	}
 	if l.attempt == nil {
-		l.attempt = &attempt{done: make(chan struct{})}
-		go l.make(l.attempt)
+		l.attempt = &dialAttempt{done: make(chan struct{})}
+		go l.establish(l.attempt)
 	}
-	return nil, l.attempt, l.down
+	return nil, l.attempt, l.unreachable
 }
 
 // make dials, wakes the calls that wait for the attempt and notes whether the peer is down.
-func (l *link) make(a *attempt) {
+func (l *link) establish(a *dialAttempt) {
 	defer close(a.done)
 	a.conn, a.err = l.dial()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.attempt = nil
-	l.down = a.err != nil
+	l.unreachable = a.err != nil
 	switch {
 	case a.err != nil:
 	case l.closed:
@@ -131,29 +131,29 @@
 		a.conn, a.err = nil, errLinkClosed
 	default:
 		l.conn = a.conn
-		l.made = time.Now()
-		context.AfterFunc(a.conn.Context(), func() { l.lost(a.conn) })
+		l.connectedAt = time.Now()
+		context.AfterFunc(a.conn.Context(), func() { l.handleConnClosed(a.conn) })
 	}
 }
 
 // lost notes the end of a connection. Until another is made the peer counts as down:
 // most connections end by silence, and then the next attempts are silent too.
-func (l *link) lost(conn *quic.Conn) {
+func (l *link) handleConnClosed(conn *quic.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == conn {
-		l.down = true
+		l.unreachable = true
 	}
 }
 
 // restarted closes a connection that is older than the peer's process. The process
 // was just heard, so calls wait for the new connection: as one to a peer that counts
 // as down they would fail.
-func (l *link) restarted(age time.Duration) {
+func (l *link) closeStale(age time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.down = false
-	if l.conn != nil && time.Since(l.made) > age {
+	l.unreachable = false
+	if l.conn != nil && time.Since(l.connectedAt) > age {
 		conn := l.conn
 		l.conn = nil
 		go conn.CloseWithError(0, "the peer restarted")
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -26,7 +26,7 @@
 	ctx      context.Context
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
-	meter    meter
+	meter    trafficMeter
 	close    func() error
 
 	mu    sync.Mutex
@@ -34,12 +34,12 @@
 }
 
 // Listen starts a server at an address.
-func Listen(at netip.AddrPort, cred Credentials, h Handler) (*Server, error) {
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+func Listen(address netip.AddrPort, cred Credentials, h Handler) (*Server, error) {
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, errors.Wrap(err, "listening for peers")
 	}
-	l, err := quic.Listen(conn, cred.config(), quicConfig())
+	l, err := quic.Listen(conn, cred.tlsConfig(), quicConfig())
 	if err != nil {
 		return nil, errors.CombineErrors(errors.Wrap(err, "listening for peers"), conn.Close())
 	}
@@ -57,7 +57,7 @@
 
 // linger is the time for which connections stay open after the last reply was written:
 // closing one drops what has not arrived, and quic-go does not tell when it has.
-const linger = 200 * time.Millisecond
+const lingerTime = 200 * time.Millisecond
 
 // Shutdown takes no further requests, waits until those in progress are answered or
 // the context ends, and closes the server. Without it a caller whose request another
@@ -71,7 +71,7 @@
 	}()
 	select {
 	case <-answered:
-		time.Sleep(linger)
+		time.Sleep(lingerTime)
 	case <-ctx.Done():
 	}
 	return s.Close()
@@ -115,7 +115,7 @@
 		if err != nil {
 			return
 		}
-		s.meter.follow(c)
+		s.meter.track(c)
 		s.track(c)
 		s.wg.Go(func() { s.serve(c) })
 	}
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -17,7 +17,7 @@
 )
 
 // protocol is the ALPN name of the peer protocol and its version.
-const protocol = "lavendercleat-peer/1"
+const alpnProtocol = "lavendercleat-peer/1"
 
 // serverName is the name in every entry's certificate: entries are known by the
 // authority that signed them, not by their changing IP numbers.
@@ -44,7 +44,7 @@
 		return Credentials{}, errors.Wrap(err, "--cert-file, --key-file; accepted are readable PEM files of one key pair")
 	}
 	c := Credentials{Certificate: cert, Authority: pool}
-	if err := c.check(); err != nil {
+	if err := c.verify(); err != nil {
 		return Credentials{}, errors.Wrap(err, "--cert-file; accepted is a certificate that the authority of --ca-file signed for "+serverName)
 	}
 	return c, nil
@@ -52,7 +52,7 @@
 
 // check returns an error unless peers accept the certificate in both roles. Without
 // it an entry with the wrong file starts, and no peer ever hears of it.
-func (c Credentials) check() error {
+func (c Credentials) verify() error {
 	for _, use := range []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth} {
 		_, err := c.Certificate.Leaf.Verify(x509.VerifyOptions{
 			DNSName:   serverName,
@@ -67,10 +67,10 @@
 }
 
 // config returns the TLS settings, alike for both ends.
-func (c Credentials) config() *tls.Config {
+func (c Credentials) tlsConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
-		NextProtos:   []string{protocol},
+		NextProtos:   []string{alpnProtocol},
 		ServerName:   serverName,
 		Certificates: []tls.Certificate{c.Certificate},
 		RootCAs:      c.Authority,
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -8,7 +8,7 @@
 )
 
 // datagramHeader is the size of the IPv4 and UDP headers of one packet.
-const datagramHeader = 28
+const packetHeaderBytes = 28
 
 // Traffic is what went over connections, with the UDP and IP headers.
 type Traffic struct {
@@ -31,22 +31,22 @@
 func trafficOf(c *quic.Conn) Traffic {
 	s := c.ConnectionStats()
 	return Traffic{
-		BytesSent:       s.BytesSent + datagramHeader*s.PacketsSent,
-		BytesReceived:   s.BytesReceived + datagramHeader*s.PacketsReceived,
+		BytesSent:       s.BytesSent + packetHeaderBytes*s.PacketsSent,
+		BytesReceived:   s.BytesReceived + packetHeaderBytes*s.PacketsReceived,
 		PacketsSent:     s.PacketsSent,
 		PacketsReceived: s.PacketsReceived,
 	}
 }
 
 // meter adds up the traffic of connections, also of those that have ended.
-type meter struct {
-	mu    sync.Mutex
-	open  map[*quic.Conn]struct{}
-	ended Traffic
+type trafficMeter struct {
+	mu     sync.Mutex
+	open   map[*quic.Conn]struct{}
+	closed Traffic
 }
 
 // follow counts a connection until and beyond its end.
-func (m *meter) follow(c *quic.Conn) {
+func (m *trafficMeter) track(c *quic.Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.open == nil {
@@ -57,15 +57,15 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		delete(m.open, c)
-		m.ended = m.ended.Add(trafficOf(c))
+		m.closed = m.closed.Add(trafficOf(c))
 	})
 }
 
 // total returns the traffic so far.
-func (m *meter) total() Traffic {
+func (m *trafficMeter) total() Traffic {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t := m.ended
+	t := m.closed
 	for c := range m.open {
 		t = t.Add(trafficOf(c))
 	}
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -107,9 +107,9 @@
 	}
 }
 
-func (c *Client) get(ctx context.Context, key string, wait time.Duration, q url.Values) (Value, error) {
+func (c *Client) get(ctx context.Context, key string, wait time.Duration, params url.Values) (Value, error) {
 	var v Value
-	b, err := c.do(ctx, http.MethodGet, PathKeys+key+"?"+q.Encode(), nil, wait)
+	b, err := c.do(ctx, http.MethodGet, PathKeys+key+"?"+params.Encode(), nil, wait)
 	if err != nil {
 		return v, err
 	}
@@ -123,8 +123,8 @@
 // returns the new revision. ErrConflict proves that nothing was written;
 // ErrUnavailable leaves it open.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, prev uint64, value []byte) (uint64, error) {
-	q := url.Values{ParamPrev: {strconv.FormatUint(prev, 10)}}
-	b, err := c.do(ctx, http.MethodPut, PathKeys+key+"?"+q.Encode(), value, 0)
+	params := url.Values{ParamPrev: {strconv.FormatUint(prev, 10)}}
+	b, err := c.do(ctx, http.MethodPut, PathKeys+key+"?"+params.Encode(), value, 0)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/tcp/dialer.go
+++ b/internal/tcp/dialer.go
@@ -16,10 +16,10 @@
 // and without these the kernel would wait for minutes to hours.
 func Dialer(timeout, silence time.Duration) net.Dialer {
 	const probes = 3
-	every := max(silence/(probes+1), time.Second)
+	probeInterval := max(silence/(probes+1), time.Second)
 	return net.Dialer{
 		Timeout:         timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: every, Interval: every, Count: probes},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probes},
 		Control:         userTimeout(silence),
 	}
 }
@@ -28,10 +28,10 @@
 // resends for minutes on a connection whose other end is gone for good.
 func userTimeout(d time.Duration) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
-		var opt error
+		var sockErr error
 		err := c.Control(func(fd uintptr) {
-			opt = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
+			sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
 		})
-		return errors.CombineErrors(err, opt)
+		return errors.CombineErrors(err, sockErr)
 	}
 }
