--- a/internal/mesh/demands.go
+++ b/internal/mesh/demands.go
@@ -1,3 +1,5 @@
+// Demands in heartbeats: a heartbeat contains them only after a significant change.
+
 package mesh
 
 import (
@@ -6,12 +8,13 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// demandStep is by which part a queue's demand has to change to be told again: it is a decaying
-// mean of some jobs, so smaller changes say nothing.
+// demandChangeDivisor sets the smallest change of a queue's demand that is sent again: 1/8 of the demand.
+// A demand is a decaying mean over a few jobs, so smaller changes carry no information.
 const demandChangeDivisor = 8
 
-// takeDemands notes whether a heartbeat's demands are to be told anew. Those that have hardly
-// changed stay as they were told. Where none are left, an empty one says so.
+// updateDemands records whether links must send the demands of a heartbeat again. If no demand has
+// changed significantly, it puts the demands that were sent before into the heartbeat. If no demands are
+// left, it puts in one empty demand, because a heartbeat without demands means that they are unchanged.
 func (c *heartbeatCache) updateDemands(before []*schema.Demand, p *schema.Pulse) {
 	if len(p.Demands) == 0 && len(before) > 0 {
 		p.Demands = []*schema.Demand{{}}
@@ -28,7 +31,7 @@
 	return a.Service == b.Service && a.Queue == b.Queue && change <= a.MilliCpu/demandChangeDivisor
 }
 
-// completeDemands adds what the connection was told of demands before.
+// addUnchangedDemands adds the demands that this connection received earlier, if the heartbeat has none.
 func (s *receivedState) addUnchangedDemands(p *schema.Pulse) {
 	if len(p.GetDemands()) > 0 {
 		s.demands = p.GetDemands()
--- a/internal/mesh/doc.go
+++ b/internal/mesh/doc.go
@@ -1,13 +1,13 @@
-// Package mesh links the daemons of a fleet.
+// Package mesh connects the daemons of a fleet to each other.
 //
-// Each daemon dials every other one; what it has to say goes over the connection it
-// dialed. Numbered frames are delivered once and in order between two processes, also
-// across new connections, until one side counts the other as lost. Loss has two forms:
-// a refused connection proves that the process is gone; silence, or echoes that stay
-// behind, tells only that it can't be reached. A link that comes back after a loss
-// begins a new session, by which the other side learns that its state was dropped.
+// Each daemon dials every other one and writes only to the connection that it dialed. Between two
+// processes, numbered frames are delivered once and in order, also across reconnects, until one side
+// finds the other unreachable. There are two cases. A refused connection proves that the peer's process
+// has ended. Silence, or echoes that fall behind, shows only that the peer cannot be reached. When a link
+// comes up again after a peer was unreachable, it starts a new session. The new session tells the other
+// side that this side has dropped its state.
 //
-// Plain TCP with protobuf frames: the daemons of one deployment talk on the platform's
-// private network, which gives them no keys, and QUIC's encryption and timers would cost
+// The links use plain TCP with protobuf frames. The daemons of a deployment communicate over the
+// platform's private network, which gives them no keys. The encryption and the timers of QUIC would take
 // more processor time than the messages themselves.
 package mesh
--- a/internal/mesh/incoming.go
+++ b/internal/mesh/incoming.go
@@ -1,3 +1,5 @@
+// The incoming connection of a link: frames, acknowledgements and heartbeats from the peer.
+
 package mesh
 
 import (
@@ -8,12 +10,12 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// serve reads what comes on a connection that the peer has dialed.
+// serve reads the frames of a connection that the peer dialed.
 func (l *link) serve(session uint64, c net.Conn, r *bufio.Reader) {
 	var state receivedState
 	first := true
 	for {
-		// A sender pulses; without a deadline a silent connection would stay for ever.
+		// The peer sends heartbeats. Without a deadline, a silent connection would stay open forever.
 		_ = c.SetReadDeadline(time.Now().Add(2 * PeerTimeout))
 		f, err := readFrame(r)
 		if err == nil && f.GetPulse() != nil {
@@ -27,15 +29,15 @@
 			return
 		}
 		if f.GetPulse() != nil && first {
-			// The peer has waited for an echo for long: to wait for our next heartbeat too
-			// could make it count this daemon as lost.
+			// The peer has been waiting for an echo since it dialed. If it had to wait for our next
+			// regular heartbeat too, it might find this daemon unreachable.
 			first = false
 			l.sendHeartbeatNow()
 		}
 	}
 }
 
-// received takes a frame; false when its connection belongs to an ended session.
+// handleFrame processes a frame. It returns false if the frame's connection belongs to an ended session.
 func (l *link) handleFrame(session uint64, f *schema.Frame) bool {
 	l.deliveryMu.Lock()
 	defer l.deliveryMu.Unlock()
@@ -67,7 +69,7 @@
 	return true
 }
 
-// acknowledge drops frames that the peer has.
+// dropAcknowledged removes the frames that the peer has received from the outbox. The caller holds mu.
 func (l *link) dropAcknowledged(n uint64) {
 	for len(l.outbox) > 0 && l.outbox[0].GetNumber() <= n {
 		l.outbox = l.outbox[1:]
@@ -75,7 +77,7 @@
 	}
 }
 
-// pulsed notes a heartbeat and reports whether the link came up by it.
+// handleHeartbeat records a heartbeat and reports whether the link came up by it. The caller holds mu.
 func (l *link) handleHeartbeat(p *schema.Pulse) bool {
 	l.echoNext, l.peerInterval = p.GetSentMs(), intervalAfter(p)
 	l.lastEchoed = max(l.lastEchoed, p.GetEchoMs())
--- a/internal/mesh/link.go
+++ b/internal/mesh/link.go
@@ -1,3 +1,5 @@
+// The outgoing connection of a link: dialing, queued frames, heartbeats and time-outs.
+
 package mesh
 
 import (
@@ -15,56 +17,61 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// link is this daemon's end of the link to one address.
+// link is this daemon's end of the link to one address. It has an outgoing connection, which this daemon
+// dials and writes to, and an incoming one, which the peer dials and writes to.
 type link struct {
 	mesh    *Mesh
 	address netip.AddrPort
 	wake    chan struct{}
 
-	// order keeps calls of the handler for this peer in order; taken before mu.
+	// deliveryMu keeps the handler's calls for this peer in order. It is locked before mu.
 	deliveryMu sync.Mutex
 
 	mu sync.Mutex
-	// peer is the process on the other side; its incarnation is 0 while unknown.
+	// peer is the process at the other end. Its incarnation is 0 while the process is unknown.
 	peer Peer
-	// up: messages pass both ways.
+	// up is set while messages pass in both directions.
 	up bool
-	// session numbers the state that both ends keep with each other. An end that drops its
-	// state raises it, and the other end drops its own and takes the number over: were each
-	// to count for itself, one loss could have both drop their state by turns for ever.
+	// session is the number of the state that both ends keep about each other. An end that drops its
+	// state increments the number. The other end then drops its own state and takes over the number. If
+	// each end counted its own sessions, the two could make each other drop their state in turns forever
+	// after a single loss.
 	session uint64
-	// connected is the incarnation that our connection reached, 0 without one.
+	// connectedTo is the incarnation of the process that the outgoing connection reached; 0 without a
+	// connection.
 	connectedTo uint64
 	conn        net.Conn
-	outbox      []*schema.Frame
-	// sent is how many of the outbox were written on this connection.
+	// outbox holds the frames that the peer has not acknowledged.
+	outbox []*schema.Frame
+	// writtenCount is how many frames of the outbox were written to this connection.
 	writtenCount int
+	// lastNumber is the number of the latest frame sent, lastReceived that of the latest one received.
 	lastNumber   uint64
 	lastReceived uint64
-	// echoed is when the latest echo of one of our pulses was sent by us; echo is the
-	// peer's latest pulse.
+	// lastEchoed is the time of the latest of our heartbeats that the peer has echoed. echoNext is the
+	// time in the peer's latest heartbeat, which our next heartbeat echoes.
 	lastEchoed, echoNext int64
-	// interval is the time between the peer's heartbeats.
+	// peerInterval is the time between the peer's heartbeats.
 	peerInterval time.Duration
-	// told is the number of the heartbeat last written on this connection; 0: none.
+	// lastHeartbeat is the number of the latest heartbeat written to this connection; 0: none.
 	lastHeartbeat uint64
-	// dialed is when the connection was made, lost when the last session ended: an echo
-	// of an older pulse doesn't show that messages pass now.
+	// connectedAt is when the outgoing connection was made, sessionEndedAt when the last session ended.
+	// An echo of a heartbeat older than that does not show that messages pass now.
 	connectedAt, sessionEndedAt int64
-	// lastNamed is when something last named this address.
+	// lastNamed is when a peer list, or the peer itself, last named this address.
 	lastNamed time.Time
-	// ackDue: the peer waits for an acknowledgement.
+	// ackDue is set when the peer waits for an acknowledgement.
 	ackDue bool
-	// pulseDue asks for a heartbeat at once: the link comes up by it.
+	// heartbeatDue requests a heartbeat at once, by which the link comes up.
 	heartbeatDue bool
-	// failed: an attempt to reach the peer has failed.
+	// attemptFailed is set once an attempt to reach the peer has failed.
 	attemptFailed bool
-	// parted: the daemon is not to be linked any more.
+	// excluded is set when this daemon must not be linked to the peer any more.
 	excluded bool
-	// elder: the peer had been there for a while when it greeted.
+	// established is set if the peer was no longer starting when it sent its last hello.
 	established bool
-	// redial asks for a dial without a pause; stopDial ends the one that began at dialing,
-	// nil when there is none.
+	// redialNow requests a dial without a pause. cancelDial cancels the dial in progress, which began at
+	// dialStarted; it is nil if no dial is in progress.
 	redialNow   chan struct{}
 	cancelDial  func()
 	dialStarted time.Time
@@ -89,7 +96,7 @@
 	l.wakeWriter()
 }
 
-// part ends the link for good.
+// exclude ends the link permanently.
 func (l *link) exclude() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,7 +125,7 @@
 	return l.peer, l.up
 }
 
-// send queues a frame for the process, if that is still the one linked.
+// send queues a frame for a process. It drops the frame if the link is not up or leads to another process.
 func (l *link) send(incarnation uint64, f *schema.Frame) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,7 +138,7 @@
 	l.wakeWriter()
 }
 
-// run dials and writes until the mesh closes or the peer is forgotten.
+// run dials and writes until the mesh is closed, or the peer is excluded or not named any more.
 func (l *link) run() {
 	for l.mesh.ctx.Err() == nil {
 		err := l.connect()
@@ -157,8 +164,8 @@
 	}
 }
 
-// dial makes one attempt to reach the peer, which ends early when the peer dials us after it
-// has begun.
+// dial makes one attempt to reach the peer. dialNow cancels the attempt if the peer dials this daemon
+// meanwhile and the attempt is stale.
 func (l *link) dial() (net.Conn, error) {
 	ctx, cancel := context.WithCancel(l.mesh.ctx)
 	defer cancel()
@@ -173,7 +180,8 @@
 	return l.mesh.dialer.DialContext(ctx, "tcp4", l.address.String())
 }
 
-// peerDialed has the peer, which is surely there now, dialed at once. The link is locked.
+// dialNow starts a dial at once after the peer has dialed this daemon, as the peer is certainly running.
+// A connection or a recent dial stays. The caller holds mu.
 func (l *link) dialNow() {
 	if l.conn != nil || l.cancelDial != nil && time.Since(l.dialStarted) < staleDialAge {
 		return
@@ -193,16 +201,18 @@
 	return l.established
 }
 
+// expired reports whether the peer is not up and nothing has named it for forgetTimeout.
 func (l *link) expired() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.up && time.Since(l.lastNamed) > forgetTimeout
 }
 
-// errBehind: the greeting carried a session that has ended; the next one follows at once.
-var errStaleSession = errors.New("the session has ended")
+// errStaleSession is returned when our hello carried a session that has ended. run dials again at once
+// with the new session.
+var errStaleSession = errors.New("the hello carried a session that has ended")
 
-// connect dials, greets and writes until the connection is given up.
+// connect dials, exchanges hellos and writes until the connection ends or is closed.
 func (l *link) connect() error {
 	c, err := l.dial()
 	if err != nil {
@@ -228,7 +238,7 @@
 	broken := make(chan struct{})
 	l.mesh.wg.Go(func() {
 		defer close(broken)
-		_, _ = r.ReadByte() // nothing comes but the end
+		_, _ = r.ReadByte() // the peer sends nothing more here, so a read returns only when the connection ends
 	})
 	defer func() {
 		c.Close()
@@ -240,7 +250,7 @@
 	return l.write(c, broken)
 }
 
-// write sends pulses and the outbox until the connection breaks or goes silent.
+// write sends heartbeats and the outbox until the connection breaks or goes silent.
 func (l *link) write(c net.Conn, broken chan struct{}) error {
 	w := bufio.NewWriterSize(c, 4096)
 	due := time.Now()
@@ -269,7 +279,7 @@
 	}
 }
 
-// flush writes what is queued, and a pulse.
+// flush writes the queued frames, and a heartbeat if one is due.
 func (l *link) flush(c net.Conn, w *bufio.Writer, heartbeat bool) error {
 	var shared []byte
 	heartbeat = l.takeHeartbeatDue() || heartbeat
@@ -300,13 +310,14 @@
 			return err
 		}
 	case needsAck && len(frames) == 0:
-		return nil // the next pulse acknowledges
+		return nil // the next heartbeat acknowledges the received frames
 	}
 	return w.Flush()
 }
 
-// heartbeat returns the common part of a heartbeat for what was written before on this
-// connection. A write that fails ends the connection, so what it left out isn't missed.
+// sharedHeartbeat returns the part of a heartbeat that is the same for all peers, as changes to the one
+// last written to this connection. A failed write ends the connection, and the next connection starts
+// with a full heartbeat. So the peer misses no change.
 func (l *link) sharedHeartbeat() ([]byte, error) {
 	l.mu.Lock()
 	base := l.lastHeartbeat
@@ -326,21 +337,22 @@
 	return due
 }
 
+// tried reports whether the link is up or an attempt to reach the peer has failed.
 func (l *link) tried() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.up || l.attemptFailed
 }
 
-// silentFor is the age of the latest pulse of ours that the peer echoed.
+// sinceLastEcho returns the age of the latest of our heartbeats that the peer has echoed.
 func (l *link) sinceLastEcho() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(l.mesh.uptimeMs()-l.lastEchoed) * time.Millisecond
 }
 
-// redialIn is the time until the connection has been silent for too long: our heartbeats
-// are echoed with the peer's next ones.
+// untilRedial returns the time until the connection counts as silent and is replaced. The peer echoes our
+// heartbeats in its own next ones.
 func (l *link) untilRedial() time.Duration {
 	own := l.mesh.heartbeats.interval()
 	l.mu.Lock()
@@ -349,14 +361,15 @@
 	return own + l.peerInterval + redialSlack - silent
 }
 
-// checkSilence counts a peer as lost that has not echoed for PeerTimeout.
+// checkTimeout ends the session if the peer has echoed no heartbeat within PeerTimeout.
 func (l *link) checkTimeout() {
 	if _, up := l.peerIfUp(); up && l.sinceLastEcho() > PeerTimeout {
 		l.endSession(false)
 	}
 }
 
-// incomingBroke looks at once whether the peer is still there.
+// closeOutgoing closes the outgoing connection. run then dials again, which shows at once whether the
+// peer is still running.
 func (l *link) closeOutgoing() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -365,7 +378,7 @@
 	}
 }
 
-// pulseNow sends a heartbeat at once.
+// sendHeartbeatNow makes the writer send a heartbeat at once.
 func (l *link) sendHeartbeatNow() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -1,3 +1,5 @@
+// The mesh: all links of a daemon, and the listener for connections from peers.
+
 package mesh
 
 import (
@@ -17,31 +19,29 @@
 )
 
 const (
-	// redialSlack is added to the two intervals after which a heartbeat is echoed at the
-	// latest, when all is well, for a packet that has to be sent again. A connection that is
-	// silent for longer is given up for a new one: something on the way may have lost track
-	// of it while new ones work.
+	// redialSlack is the time for resending a lost packet. A heartbeat is normally echoed within two
+	// heartbeat intervals, one of each side. A connection without an echo for these intervals and
+	// redialSlack is replaced: a device on the path may have lost track of it while new connections work.
 	redialSlack = 200 * time.Millisecond
-	// writeTimeout bounds a greeting and each write: a peer that reads nothing, or a link
-	// that is cut, must not hold up the look at its silence.
+	// writeTimeout limits the exchange of hellos and each write. A peer that reads nothing, or a cut link,
+	// must not delay the check for PeerTimeout.
 	writeTimeout = 400 * time.Millisecond
-	// PeerTimeout is the silence after which a peer counts as lost. What ran for it is
-	// stopped then, which has to be over before its callers submit again.
+	// PeerTimeout is the time without an echo after which a peer counts as unreachable. The daemon then
+	// stops what it ran for the peer. These runs must have ended before the peer's callers submit again.
 	PeerTimeout = 900 * time.Millisecond
-	// redialPause is the pause between attempts to reach a peer.
+	// redialInterval is the pause between attempts to reach a peer.
 	redialInterval = 100 * time.Millisecond
-	// forgetAfter is how long a lost peer is dialed that nothing names any more.
+	// forgetTimeout is how long an unreachable peer is still dialed after it was last named.
 	forgetTimeout = 20 * time.Second
 	dialTimeout   = 400 * time.Millisecond
-	// staleDial is the age from which a dial is begun anew when its peer dials us: the peer
-	// was without power when it began, and packets to it were lost. Without that the peer
-	// waits up to dialTimeout for our side of the link after it is back, and then lets
-	// callers wait for workers.
+	// staleDialAge is the age from which a dial is restarted when its peer dials us. The peer had no power
+	// when the dial began, and the dial's packets were lost. Otherwise the peer would wait up to
+	// dialTimeout for our side of the link after its return, and its callers would wait for workers.
 	staleDialAge = 20 * time.Millisecond
-	// StartingPeriod is how long a process counts as one that has just started. Daemons that lost
-	// power together are back within 0.3 s of each other.
+	// StartingPeriod is how long a process counts as starting. Daemons that lost power together are running
+	// again within 0.3 s of each other.
 	StartingPeriod = time.Second
-	// maxFrame bounds one frame in bytes.
+	// maxFrameBytes is the largest size of a frame.
 	maxFrameBytes = 8 << 20
 )
 
@@ -50,27 +50,28 @@
 	member.Process
 	Name   string
 	Domain string
-	// Weight is what the daemon can carry, in cores; 0: not known.
+	// Weight is the capacity of the daemon's machine in cores; 0: unknown.
 	Weight float64
 }
 
-// Handler is told what happens on the links. Its methods are called without locks of
-// this package, for one peer in order.
+// Handler receives the events and frames of the links. The package calls its methods without holding a
+// lock, and for one peer in order.
 type Handler interface {
-	// PeerUp tells that messages pass both ways.
+	// PeerUp is called when messages start to pass in both directions.
 	PeerUp(p Peer)
-	// PeerUnreachable tells that the peer can't be reached; gone, that its process is proved over.
+	// PeerUnreachable is called when the peer cannot be reached any more. gone is set if the peer's process
+	// has certainly ended.
 	PeerUnreachable(p Peer, gone bool)
-	// HandleFrame takes a numbered frame.
+	// HandleFrame processes a numbered frame.
 	HandleFrame(p Peer, f *schema.Frame)
-	// HandleHeartbeat takes a heartbeat.
+	// HandleHeartbeat processes a heartbeat.
 	HandleHeartbeat(p Peer, pulse *schema.Pulse)
-	// Heartbeat returns the heartbeat to send now, in full. Its NextMs names the time to the
-	// next one, which all peers are to be told of within PeerTimeout.
+	// Heartbeat returns the heartbeat to send now, in full. Its NextMs is the time until the next one. All
+	// peers must receive that time within PeerTimeout.
 	Heartbeat() *schema.Pulse
 }
 
-// Mesh is a daemon's end of all links.
+// Mesh holds all links of a daemon.
 type Mesh struct {
 	self     *schema.Identity
 	address  netip.AddrPort
@@ -86,19 +87,19 @@
 
 	mu    sync.Mutex
 	links map[netip.AddrPort]*link
-	// linked tells which daemons to link; nil for all.
+	// allowed reports which daemons may be linked; nil: all.
 	allowed func(netip.AddrPort) bool
 }
 
-// New returns a mesh that links nobody yet. Peers reach it at self's address; it listens
-// on another one where that is given.
+// New returns a mesh without links. Peers reach it at self's address. It listens on the listen address if
+// that is valid, or else on self's.
 func New(self Peer, listen netip.AddrPort, h Handler) (*Mesh, error) {
 	if !listen.IsValid() {
 		listen = self.Address
 	}
 	l, err := net.Listen("tcp4", listen.String())
 	if err != nil {
-		return nil, errors.Wrap(err, "listening for peers")
+		return nil, errors.Wrapf(err, "listening for peers on %s", listen)
 	}
 	m := &Mesh{
 		self: &schema.Identity{
@@ -113,7 +114,7 @@
 	return m, nil
 }
 
-// Start begins to accept links.
+// Start starts accepting connections from peers.
 func (m *Mesh) Start() { m.wg.Go(m.accept) }
 
 // Close ends all links.
@@ -128,15 +129,15 @@
 	m.wg.Wait()
 }
 
-// AddPeers adds daemons that may be linked, by address.
+// AddPeers adds daemons to link, by address. Each call counts as naming them.
 func (m *Mesh) AddPeers(addresses ...netip.AddrPort) {
 	for _, a := range addresses {
 		m.link(a).markNamed()
 	}
 }
 
-// ResetSessions ends the sessions of all links: what was sent in them and is still on its way is
-// dropped on both sides.
+// ResetSessions ends the sessions of all links. Both sides drop the frames of these sessions that have not
+// arrived yet.
 func (m *Mesh) ResetSessions() {
 	m.mu.Lock()
 	links := make([]*link, 0, len(m.links))
@@ -149,8 +150,8 @@
 	}
 }
 
-// RestrictPeers links only daemons for which linked is true from now on. Links to others end,
-// as if their processes were gone.
+// RestrictPeers restricts the links to daemons for which allowed returns true. It ends all other links as
+// if the peers' processes had ended.
 func (m *Mesh) RestrictPeers(allowed func(netip.AddrPort) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -162,7 +163,7 @@
 	}
 }
 
-// Send queues a numbered frame for a process; it is dropped when the process is not linked.
+// Send queues a numbered frame for a process. It drops the frame if the process is not linked.
 func (m *Mesh) Send(to member.Process, f *schema.Frame) {
 	m.mu.Lock()
 	l := m.links[to.Address]
@@ -172,7 +173,7 @@
 	}
 }
 
-// Peers returns the peers that messages pass to and from.
+// Peers returns the peers whose links are up.
 func (m *Mesh) Peers() []Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -185,7 +186,7 @@
 	return list
 }
 
-// AllPeersTried reports whether each known peer is up or was found not to answer.
+// AllPeersTried reports whether each known peer is up or an attempt to reach it has failed.
 func (m *Mesh) AllPeersTried() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -197,7 +198,7 @@
 	return true
 }
 
-// link returns the link to an address, made when there is none.
+// link returns the link to an address, and creates it if there is none.
 func (m *Mesh) link(a netip.AddrPort) *link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -208,7 +209,7 @@
 		m.wg.Go(l.run)
 	}
 	if l == nil {
-		return new(link) // ourselves, closing, or not to be linked: a link that does nothing
+		return new(link) // our own address, a closing mesh, or a peer that is not allowed: an inactive link
 	}
 	return l
 }
@@ -228,14 +229,14 @@
 			if m.ctx.Err() != nil {
 				return
 			}
-			time.Sleep(redialInterval) // out of descriptors, or the connection is gone already
+			time.Sleep(redialInterval) // no file descriptor is left, or the connection has already ended
 			continue
 		}
 		m.wg.Go(func() { m.serve(c) })
 	}
 }
 
-// serve reads one connection that a peer dialed.
+// serve handles one connection that a peer dialed.
 func (m *Mesh) serve(c net.Conn) {
 	defer c.Close()
 	stop := context.AfterFunc(m.ctx, func() { c.Close() })
@@ -259,7 +260,7 @@
 	l.serve(session, c, r)
 }
 
-// greeting names this daemon and the session that it is in.
+// identity returns the hello that names this daemon and the session that it is in.
 func (m *Mesh) identity(session uint64) *schema.Identity {
 	return &schema.Identity{
 		Address: m.self.Address, Incarnation: m.self.Incarnation, Name: m.self.Name, Domain: m.self.Domain,
@@ -267,9 +268,9 @@
 	}
 }
 
-// MetEstablishedPeer reports whether a peer that has not just started has answered a greeting or sent
-// one: the fleet was there before this process. It is known a round trip after the dial,
-// long before the link is up.
+// MetEstablishedPeer reports whether an established peer has sent or answered a hello, so that the fleet was
+// running before this process started. This is known one round trip after the dial, long before the link
+// is up.
 func (m *Mesh) MetEstablishedPeer() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -293,10 +294,10 @@
 		return nil, err
 	}
 	if f.GetHello() == nil {
-		return nil, errors.New("the first frame is not a greeting")
+		return nil, errors.Newf("the first frame is a %T; want a hello", f.GetBody())
 	}
 	return f.GetHello(), nil
 }
 
-// clock returns the time since the start in ms, for pulses and their echoes; never 0.
+// uptimeMs returns the time since the start in ms, for heartbeats and their echoes. It never returns 0.
 func (m *Mesh) uptimeMs() int64 { return time.Since(m.started).Milliseconds() + 1 }
--- a/internal/mesh/pulse.go
+++ b/internal/mesh/pulse.go
@@ -1,3 +1,5 @@
+// Heartbeats: each link sends only what has changed since the heartbeat that it wrote last.
+
 package mesh
 
 import (
@@ -14,41 +16,42 @@
 )
 
 const (
-	// pulseInterval is the time between heartbeats where they don't name another.
+	// defaultHeartbeatInterval is the time between heartbeats that name no other interval.
 	defaultHeartbeatInterval = 100 * time.Millisecond
-	// pulseFresh is how long a heartbeat's content is used for several links: it is built
-	// once for all of them, as they are due at the same time.
+	// heartbeatCacheTTL is how long the content of a heartbeat is used for several links. Their heartbeats
+	// are due at the same time, so the content is built once for all of them.
 	heartbeatCacheTTL = 20 * time.Millisecond
-	// tellPeersEvery is how often heartbeats name the sender's peers though they have not
-	// changed: daemons that have lost each other go on looking for those that are named.
+	// peerListInterval is the interval at which heartbeats contain the sender's peers though these have not
+	// changed. Daemons that have lost each other keep dialing the peers that others name.
 	peerListInterval = 5 * time.Second
 )
 
-// pulseField is the place of a heartbeat in a frame.
+// heartbeatField is the number of the heartbeat's field in a frame.
 var heartbeatField = (&schema.Frame{}).ProtoReflect().Descriptor().Fields().ByName("pulse").Number()
 
-// pulseCache holds the part of a heartbeat that is the same for all peers. Each link is
-// told what has changed since the heartbeat that it has written last, as most of it has
-// not: in full it was nine tenths of all that daemons sent to each other.
+// heartbeatCache holds the part of a heartbeat that is the same for all peers. Each link sends only the
+// changes since the heartbeat that it wrote last, because most of the content has not changed. Full
+// heartbeats were nine tenths of all bytes that daemons sent to each other.
 type heartbeatCache struct {
 	mu      sync.Mutex
 	latest  *schema.Pulse
 	builtAt time.Time
-	// number counts the heartbeats; at each, one of the following may be set to it.
+	// number counts the heartbeats. The following fields hold the number of the heartbeat with the latest
+	// change.
 	number uint64
-	// workersAt, peersAt, domainsAt and demandsAt are when the list of workers, that of peers,
-	// the words on failure domains and what callers ask for last changed, roomsAt when each of
-	// the rooms did.
+	// workersChanged, peersChanged, domainsChanged and demandsChanged are for the list of workers, the
+	// list of peers, the retirements of failure domains and the callers' demands. capacityChanged is for
+	// the free capacity of each worker.
 	workersChanged, peersChanged, domainsChanged, demandsChanged uint64
 	capacityChanged                                              []uint64
-	// peersTold is when peersAt was last set.
+	// peersSentAt is when peersChanged was last set.
 	peersSentAt time.Time
-	// encoded holds the latest heartbeat for links by what they have written before.
+	// encoded holds the latest heartbeat in encoded form, by the number of the heartbeat that the link
+	// wrote last.
 	encoded map[uint64][]byte
 }
 
-// get returns the heartbeat for a link that has written the one with the given number, 0
-// for none, and the number of the heartbeat returned.
+// get returns the latest heartbeat, as changes to heartbeat number base (0: none, in full), and its number.
 func (c *heartbeatCache) get(h Handler, base uint64) ([]byte, uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +69,7 @@
 	return b, c.number, nil
 }
 
-// take makes p the latest heartbeat and notes what has changed by it.
+// update makes p the latest heartbeat and records which parts have changed. The caller holds mu.
 func (c *heartbeatCache) update(p *schema.Pulse) {
 	slices.Sort(p.Peers)
 	now := time.Now()
@@ -95,7 +98,7 @@
 	c.latest, c.builtAt, c.encoded = p, now, make(map[uint64][]byte)
 }
 
-// since returns the latest heartbeat without what has not changed since an earlier one.
+// changesSince returns the latest heartbeat without the parts that have not changed since number base.
 func (c *heartbeatCache) changesSince(base uint64) *schema.Pulse {
 	l := c.latest
 	p := &schema.Pulse{
@@ -139,19 +142,20 @@
 	return slices.EqualFunc(a, b, func(a, b *schema.DomainWord) bool { return proto.Equal(a, b) })
 }
 
+// sameFreeCapacity compares what a RoomUpdate contains.
 func sameFreeCapacity(a, b *schema.Room) bool {
 	return a.MilliCpu == b.MilliCpu && a.MemoryMb == b.MemoryMb && a.Gpus == b.Gpus && a.Open == b.Open && a.Usable == b.Usable &&
 		a.PacePercent == b.PacePercent
 }
 
-// interval is the time between this daemon's heartbeats.
+// interval returns the time between this daemon's heartbeats.
 func (c *heartbeatCache) interval() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return intervalAfter(c.latest)
 }
 
-// intervalOf is the time after which the sender of a heartbeat sends the next one.
+// intervalAfter returns the time from a heartbeat to the sender's next one.
 func intervalAfter(p *schema.Pulse) time.Duration {
 	if p.GetNextMs() <= 0 {
 		return defaultHeartbeatInterval
@@ -159,14 +163,15 @@
 	return time.Duration(p.GetNextMs()) * time.Millisecond
 }
 
-// nextPulse is the time to the next heartbeat: those of all links are due at once.
+// untilNextHeartbeat returns the time until the next heartbeat. The heartbeats of all links are due at the
+// same time.
 func (m *Mesh) untilNextHeartbeat() time.Duration {
 	interval := m.heartbeats.interval()
 	return interval - time.Since(m.started)%interval
 }
 
-// writePulse writes a frame with a heartbeat. Fields that are encoded one after the other
-// are one message, so the common part is not encoded again.
+// writeHeartbeat writes a frame that contains a heartbeat. In protobuf, the concatenation of two encoded
+// messages is the encoding of the merged message, so the shared part need not be encoded again.
 func writeHeartbeat(w io.Writer, shared []byte, acknowledged uint64, sent, echo int64) error {
 	head, err := proto.Marshal(&schema.Frame{Acknowledged: acknowledged})
 	if err != nil {
@@ -186,17 +191,18 @@
 	return err
 }
 
-// heard is what has been told on one connection.
+// receivedState is the state that one incoming connection has received in heartbeats.
 type receivedState struct {
 	workers []*schema.Room
 	demands []*schema.Demand
 }
 
-// errUnknownRoom: an update is for a room that was not told on this connection.
-var errUnknownWorker = errors.New("update of a room that was not told")
+// errUnknownWorker is returned for an update whose index is not in the list of workers that this connection
+// received.
+var errUnknownWorker = errors.New("update of a worker that no heartbeat of this connection has listed")
 
-// complete adds to a heartbeat what it leaves out as told before. The rooms are those of
-// the connection and change with its next heartbeat.
+// addUnchanged adds to a heartbeat the parts that the peer left out as unchanged. The heartbeat's Rooms
+// belong to the connection, and the connection's next heartbeat changes them.
 func (s *receivedState) addUnchanged(p *schema.Pulse) error {
 	s.addUnchangedDemands(p)
 	if !p.GetSameWorkers() {
--- a/internal/mesh/session.go
+++ b/internal/mesh/session.go
@@ -1,3 +1,6 @@
+// Sessions: the hellos of both ends agree on a session number, and an end that drops its state starts a new
+// session.
+
 package mesh
 
 import (
@@ -8,7 +11,8 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// lose ends the session.
+// endSession ends the session and reports the peer as unreachable if it was up. gone is set if the peer's
+// process has certainly ended.
 func (l *link) endSession(gone bool) {
 	l.deliveryMu.Lock()
 	defer l.deliveryMu.Unlock()
@@ -21,8 +25,8 @@
 	l.reportUnreachable(unreachable, gone)
 }
 
-// reset drops all state with the peer for a new session, of at least the given number,
-// and returns the peer that was up.
+// reset drops all state about the peer and starts a new session, whose number is at least the given one. It
+// returns the peer if it was up. The caller holds deliveryMu and mu.
 func (l *link) reset(session uint64) *Peer {
 	p, wasUp := l.peer, l.up
 	l.peer.Incarnation, l.up = 0, false
@@ -38,13 +42,14 @@
 	return &p
 }
 
+// reportUnreachable calls the handler if p is not nil.
 func (l *link) reportUnreachable(p *Peer, gone bool) {
 	if p != nil {
 		l.mesh.handler.PeerUnreachable(*p, gone)
 	}
 }
 
-// peerOf is the process that a greeting names.
+// peerFrom returns the process that a hello names.
 func (l *link) peerFrom(h *schema.Identity) Peer {
 	return Peer{
 		Process: member.Process{Address: l.address, Incarnation: h.GetIncarnation()},
@@ -52,9 +57,9 @@
 	}
 }
 
-// greeted takes the greeting of a connection that the peer dialed. It returns the session
-// in force; ok is false when the greeting is of an earlier one, which the peer has left or
-// has to leave, or which was held up on the way.
+// handleHello processes the hello of a connection that the peer dialed, and returns the current session. ok
+// is false if the hello belongs to an earlier session: the peer has left that session or must leave it, or
+// the hello was delayed on the way.
 func (l *link) handleHello(h *schema.Identity) (session uint64, ok bool) {
 	if l.mesh == nil {
 		return 0, false
@@ -79,8 +84,8 @@
 	return session, ok
 }
 
-// reached notes the process that a new connection leads to; false when our session has
-// changed meanwhile.
+// handleHelloReply records the process that a new outgoing connection has reached. It returns false if this
+// daemon's session has changed meanwhile.
 func (l *link) handleHelloReply(reply *schema.Identity, session uint64, c net.Conn) bool {
 	l.deliveryMu.Lock()
 	defer l.deliveryMu.Unlock()
@@ -96,7 +101,7 @@
 		l.mu.Unlock()
 		l.reportUnreachable(unreachable, replaced)
 		l.mu.Lock()
-		return false // the greeting carried the old session
+		return false // our hello carried the old session
 	}
 	l.peer, l.established = l.peerFrom(reply), !reply.GetYoung()
 	l.conn, l.connectedTo, l.writtenCount, l.lastHeartbeat = c, reply.GetIncarnation(), 0, 0
