--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -1,3 +1,5 @@
+// The QUIC settings of both ends of a connection.
+
 package peer
 
 import (
@@ -7,16 +9,16 @@
 )
 
 const (
-	// silenceTimeout is how long a connection may be silent before it is given up: a
-	// path can go silent for good while new connections work.
+	// silenceTimeout is how long a connection may be silent before it is closed. A path can stop working
+	// permanently while new connections work.
 	silenceTimeout = 3 * time.Second
-	// keepAlive keeps an idle connection from counting as silent. Only the end that
-	// made the connection sends it: the answer keeps the other end's timer from running
-	// out too, and both ends' would double the bytes.
+	// keepAlive keeps an idle connection from counting as silent. Only the end that dialed sends
+	// keep-alive packets. The answers to them keep the other end's timer from expiring too, and packets
+	// from both ends would double the bytes.
 	keepAlive = 1400 * time.Millisecond
-	// handshakeTimeout bounds the making of a connection.
+	// handshakeTimeout is how long a connection attempt may take.
 	handshakeTimeout = 2 * time.Second
-	// maxStreams bounds the calls in progress of one peer.
+	// maxIncomingStreams is the largest number of calls in progress from one peer.
 	maxIncomingStreams = 10_000
 )
 
@@ -28,7 +30,7 @@
 	}
 }
 
-// dialConfig is the configuration of the end that makes a connection.
+// dialConfig returns the settings of the end that dials.
 func dialConfig() *quic.Config {
 	c := quicConfig()
 	c.KeepAlivePeriod = keepAlive
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,3 +1,3 @@
-// Package peer carries requests between entries over QUIC with mutual TLS. Each
-// request and its reply take one stream.
+// Package peer sends requests between entries over QUIC with mutual TLS. Each request and its reply use one
+// stream.
 package peer
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -1,3 +1,5 @@
+// The encoding of requests and replies on a stream.
+
 package peer
 
 import (
@@ -7,19 +9,19 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxMessageBytes bounds one message; a handover of answers is sent in parts below it.
+// MaxMessageBytes is the largest size of a message. A handover of answers is split into parts below it.
 const MaxMessageBytes = 32 << 20
 
 var errTooLarge = errors.New("message too large")
 
-// writeMessage writes a message; the end of the stream marks its end.
+// writeMessage writes a message. The end of the stream marks the end of the message.
 func writeMessage(w io.Writer, m proto.Message) error {
 	b, err := proto.Marshal(m)
 	if err != nil {
 		return err
 	}
 	if len(b) > MaxMessageBytes {
-		return errTooLarge
+		return errors.Wrapf(errTooLarge, "writing %d bytes; the limit is %d", len(b), MaxMessageBytes)
 	}
 	_, err = w.Write(b)
 	return err
@@ -32,7 +34,7 @@
 		return err
 	}
 	if len(b) > MaxMessageBytes {
-		return errTooLarge
+		return errors.Wrapf(errTooLarge, "reading more than %d bytes", MaxMessageBytes)
 	}
 	return proto.Unmarshal(b, m)
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -1,3 +1,5 @@
+// The connection to one peer: dial attempts that all calls share, idle connections and unreachable peers.
+
 package peer
 
 import (
@@ -10,38 +12,38 @@
 )
 
 var (
-	// errDown: the peer could not be reached lately.
-	errUnreachable = errors.New("the peer can't be reached now")
-	// errLinkClosed: the connection was closed while it was made.
-	errLinkClosed = errors.New("the peer is no longer called")
+	// errUnreachable is returned while the peer is unreachable: the last connection broke, or the last dial
+	// failed.
+	errUnreachable = errors.New("the peer is unreachable")
+	// errLinkClosed is returned when the link was closed during the dial.
+	errLinkClosed = errors.New("the link was closed during the dial, as the peer is not listed any more")
 )
 
-// link is the connection to one peer, shared by all calls.
+// link holds the connection to one peer, which all calls share.
 type link struct {
 	dial func() (*quic.Conn, error)
 
 	mu          sync.Mutex
 	conn        *quic.Conn
 	connectedAt time.Time
-	// attempt is the making of a connection in progress, nil when there is none.
+	// attempt is the dial in progress; nil if there is none.
 	attempt *dialAttempt
-	// down is set from the loss of a connection, or the failure to make one, until one
-	// is made.
+	// unreachable is set when a connection is lost or a dial fails, and reset when a dial succeeds.
 	unreachable bool
 	closed      bool
-	// calls counts the calls in progress, used is the end of the latest.
+	// calls counts the calls in progress. lastUsed is when the latest call ended.
 	calls    int
 	lastUsed time.Time
 }
 
-// begin counts a call as in progress, which keeps closeIdle from closing its connection.
+// beginCall counts a call in progress, so that closeIdle does not close its connection.
 func (l *link) beginCall() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
 }
 
-// end counts a call as over and starts the idle time anew.
+// endCall ends a call in progress and restarts the idle time.
 func (l *link) endCall() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,8 +51,8 @@
 	l.lastUsed = time.Now()
 }
 
-// closeIdle closes a connection that no call has used for some time. The link does not
-// count as down then: the next call makes a connection and waits for it.
+// closeIdle closes the connection if no call has used it for the given time. The peer does not count as
+// unreachable then: the next call dials and waits for the connection.
 func (l *link) closeIdle(after time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,16 +64,16 @@
 	go conn.CloseWithError(0, "idle")
 }
 
-// attempt is one making of a connection; conn and err are valid once done is closed.
+// dialAttempt is one attempt to connect. conn and err are valid once done is closed.
 type dialAttempt struct {
 	done chan struct{}
 	conn *quic.Conn
 	err  error
 }
 
-// connect returns the live connection or waits for one. All callers wait for the same
-// attempt, each no longer than its own context: attempts of their own, one after the
-// other, would let the last of many callers of a silent peer wait for all of them.
+// connect returns the open connection, or dials and waits for the connection. All callers wait for the same
+// attempt, each no longer than its own context allows. If callers of a silent peer dialed one after the other,
+// the last of them would wait for all the attempts before its own.
 func (l *link) connect(ctx context.Context) (*quic.Conn, error) {
 	conn, a, _ := l.connOrAttempt()
 	if conn != nil {
@@ -80,18 +82,19 @@
 	return a.wait(ctx)
 }
 
-// connectReachable is connect that does not wait while the peer is down.
+// connectReachable is like connect, but does not wait while the peer is unreachable.
 func (l *link) connectReachable(ctx context.Context) (*quic.Conn, error) {
-	conn, a, down := l.connOrAttempt()
+	conn, a, unreachable := l.connOrAttempt()
 	switch {
 	case conn != nil:
 		return conn, nil
-	case down:
+	case unreachable:
 		return nil, errUnreachable
 	}
 	return a.wait(ctx)
 }
 
+// wait waits until the attempt ends or the context does.
 func (a *dialAttempt) wait(ctx context.Context) (*quic.Conn, error) {
 	select {
 	case <-a.done:
@@ -101,9 +104,9 @@
 	}
 }
 
-// current returns the live connection, or else the attempt in progress, started if
-// need be, and whether the peer could not be reached lately.
-func (l *link) connOrAttempt() (conn *quic.Conn, a *dialAttempt, down bool) {
+// connOrAttempt returns the open connection. Without one, it returns the dial attempt in progress, which it
+// starts if there is none, and reports whether the peer is unreachable.
+func (l *link) connOrAttempt() (conn *quic.Conn, a *dialAttempt, unreachable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil && l.conn.Context().Err() == nil {
@@ -116,7 +119,7 @@
 	return nil, l.attempt, l.unreachable
 }
 
-// make dials, wakes the calls that wait for the attempt and notes whether the peer is down.
+// establish dials, records whether the peer is unreachable and wakes the calls that wait for the attempt.
 func (l *link) establish(a *dialAttempt) {
 	defer close(a.done)
 	a.conn, a.err = l.dial()
@@ -136,8 +139,8 @@
 	}
 }
 
-// lost notes the end of a connection. Until another is made the peer counts as down:
-// most connections end by silence, and then the next attempts are silent too.
+// handleConnClosed handles the end of a connection. The peer counts as unreachable until another connection is
+// made. Most connections end by silence, and then the next attempts get no answer either.
 func (l *link) handleConnClosed(conn *quic.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,9 +149,9 @@
 	}
 }
 
-// restarted closes a connection that is older than the peer's process. The process
-// was just heard, so calls wait for the new connection: as one to a peer that counts
-// as down they would fail.
+// closeStale closes the connection if it is older than the peer's process, and marks the peer as reachable. The
+// process has just sent a heartbeat, so calls must wait for the new connection. They would fail at once if the
+// peer still counted as unreachable.
 func (l *link) closeStale(age time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,7 +163,7 @@
 	}
 }
 
-// close closes the connection, also one that is still being made.
+// close closes the connection. If a dial is in progress, establish closes its connection.
 func (l *link) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -1,3 +1,5 @@
+// The server: connections and requests from peers, and the shutdown.
+
 package peer
 
 import (
@@ -13,12 +15,12 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// Handler answers a peer's request. The context ends when the peer goes away.
+// Handler answers a peer's request. The context ends when the peer's connection ends.
 type Handler interface {
 	ServePeer(ctx context.Context, r *schema.Request) *schema.Reply
 }
 
-// Server takes peers' requests.
+// Server accepts connections from peers and serves their requests.
 type Server struct {
 	listener *quic.Listener
 	conn     *net.UDPConn
@@ -37,11 +39,11 @@
 func Listen(address netip.AddrPort, cred Credentials, h Handler) (*Server, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
-		return nil, errors.Wrap(err, "listening for peers")
+		return nil, errors.Wrapf(err, "listening for peers on %s", address)
 	}
 	l, err := quic.Listen(conn, cred.tlsConfig(), quicConfig())
 	if err != nil {
-		return nil, errors.CombineErrors(errors.Wrap(err, "listening for peers"), conn.Close())
+		return nil, errors.CombineErrors(errors.Wrapf(err, "listening for peers on %s", address), conn.Close())
 	}
 	s := &Server{listener: l, conn: conn, handler: h, conns: make(map[*quic.Conn]struct{})}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
@@ -50,18 +52,18 @@
 	return s, nil
 }
 
-// Address returns the address the server listens on.
+// Address returns the address that the server listens on.
 func (s *Server) Address() netip.AddrPort {
 	return s.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// linger is the time for which connections stay open after the last reply was written:
-// closing one drops what has not arrived, and quic-go does not tell when it has.
+// lingerTime is how long connections stay open after the last reply was written. Closing a connection drops the
+// data that has not arrived, and quic-go does not report when data has arrived.
 const lingerTime = 200 * time.Millisecond
 
-// Shutdown takes no further requests, waits until those in progress are answered or
-// the context ends, and closes the server. Without it a caller whose request another
-// entry forwarded here would lose the answer that was just about to be sent.
+// Shutdown stops accepting requests, waits until the requests in progress are answered or the context ends, and
+// closes the server. Otherwise a caller whose request another entry forwarded here would lose a reply that
+// was about to be sent.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.cancel()
 	answered := make(chan struct{})
@@ -77,7 +79,7 @@
 	return s.Close()
 }
 
-// Close breaks off all connections and waits for the handlers.
+// Close closes all connections at once and waits for the handlers to return.
 func (s *Server) Close() error {
 	s.cancel()
 	err := s.close()
@@ -85,9 +87,8 @@
 	return err
 }
 
-// closeAll closes every connection and the socket. Without the first, peers would take
-// the connections for open until they count as silent, and send requests into them that
-// another process at this address can't answer.
+// closeAll closes every connection and the socket. If it closed only the socket, peers would take the connections
+// for open until silenceTimeout, and send requests on them that another process at this address cannot answer.
 func (s *Server) closeAll() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +98,7 @@
 	return errors.CombineErrors(s.listener.Close(), s.conn.Close())
 }
 
-// track keeps a connection in the set until it ends.
+// track keeps a connection in conns until it ends.
 func (s *Server) track(c *quic.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,31 +118,31 @@
 		}
 		s.meter.track(c)
 		s.track(c)
-		s.wg.Go(func() { s.serve(c) })
+		s.wg.Go(func() { s.serveConn(c) })
 	}
 }
 
-func (s *Server) serve(c *quic.Conn) {
+func (s *Server) serveConn(c *quic.Conn) {
 	for {
-		st, err := c.AcceptStream(s.ctx)
+		stream, err := c.AcceptStream(s.ctx)
 		if err != nil {
 			return
 		}
-		s.wg.Go(func() { s.answer(c, st) })
+		s.wg.Go(func() { s.serveStream(c, stream) })
 	}
 }
 
-// answer serves the one request of a stream; what can't be read resets the stream.
-func (s *Server) answer(c *quic.Conn, st *quic.Stream) {
-	defer st.Close()
+// serveStream serves the one request of a stream. It resets the stream if it cannot read the request.
+func (s *Server) serveStream(c *quic.Conn, stream *quic.Stream) {
+	defer stream.Close()
 	var r schema.Request
-	if err := readMessage(st, &r); err != nil {
-		st.CancelRead(0)
-		st.CancelWrite(0)
+	if err := readMessage(stream, &r); err != nil {
+		stream.CancelRead(0)
+		stream.CancelWrite(0)
 		return
 	}
 	reply := s.handler.ServePeer(c.Context(), &r)
-	if err := writeMessage(st, reply); err != nil {
-		st.CancelWrite(0)
+	if err := writeMessage(stream, reply); err != nil {
+		stream.CancelWrite(0)
 	}
 }
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -1,3 +1,5 @@
+// The credentials of entries: TLS settings, PEM files, and generated certificates for dev and tests.
+
 package peer
 
 import (
@@ -16,42 +18,42 @@
 	"github.com/cockroachdb/errors"
 )
 
-// protocol is the ALPN name of the peer protocol and its version.
+// alpnProtocol is the ALPN name of the peer protocol, with its version.
 const alpnProtocol = "lavendercleat-peer/1"
 
-// serverName is the name in every entry's certificate: entries are known by the
-// authority that signed them, not by their changing IP numbers.
+// serverName is the name in the certificate of every entry. An entry is identified by the authority that signed
+// its certificate, because its IP number may change.
 const serverName = "lavendercleat-entry"
 
-// Credentials prove an entry to its peers.
+// Credentials authenticate an entry to its peers.
 type Credentials struct {
 	Certificate tls.Certificate
 	Authority   *x509.CertPool
 }
 
-// LoadCredentials reads PEM files.
+// LoadCredentials reads credentials from PEM files. An error names the flag and what is accepted.
 func LoadCredentials(caFile, certFile, keyFile string) (Credentials, error) {
 	ca, err := os.ReadFile(caFile)
 	if err != nil {
-		return Credentials{}, errors.Wrap(err, "--ca-file; accepted is a readable PEM file")
+		return Credentials{}, errors.Wrap(err, "--ca-file must be a readable PEM file")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(ca) {
-		return Credentials{}, errors.Newf("--ca-file; accepted is a PEM file, and %s holds no certificate", caFile)
+		return Credentials{}, errors.Newf("--ca-file must be a PEM file; %s contains no certificate", caFile)
 	}
 	cert, err := tls.LoadX509KeyPair(certFile, keyFile)
 	if err != nil {
-		return Credentials{}, errors.Wrap(err, "--cert-file, --key-file; accepted are readable PEM files of one key pair")
+		return Credentials{}, errors.Wrap(err, "--cert-file and --key-file must be readable PEM files of one key pair")
 	}
 	c := Credentials{Certificate: cert, Authority: pool}
 	if err := c.verify(); err != nil {
-		return Credentials{}, errors.Wrap(err, "--cert-file; accepted is a certificate that the authority of --ca-file signed for "+serverName)
+		return Credentials{}, errors.Wrap(err, "--cert-file must be a certificate that the authority of --ca-file signed for "+serverName)
 	}
 	return c, nil
 }
 
-// check returns an error unless peers accept the certificate in both roles. Without
-// it an entry with the wrong file starts, and no peer ever hears of it.
+// verify returns an error unless peers accept the certificate for both servers and clients. Without this check,
+// an entry with the wrong file would start, and no peer could connect to it.
 func (c Credentials) verify() error {
 	for _, use := range []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth} {
 		_, err := c.Certificate.Leaf.Verify(x509.VerifyOptions{
@@ -66,7 +68,7 @@
 	return nil
 }
 
-// config returns the TLS settings, alike for both ends.
+// tlsConfig returns the TLS settings, which are the same for both ends of a connection.
 func (c Credentials) tlsConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -76,26 +78,26 @@
 		RootCAs:      c.Authority,
 		ClientCAs:    c.Authority,
 		ClientAuth:   tls.RequireAndVerifyClientCert,
-		// The authority may sign for others than entries. A server checks the chain of a
-		// client's certificate but not its name, so an operator's certificate would make
-		// a peer, whose word on a caller's team is taken.
+		// The authority may also sign certificates of clients that are not entries. A server checks the
+		// chain of a client's certificate but not its name. Without this check, an operator's certificate
+		// would authenticate as a peer, and the server accepts a peer's statement about a caller's team.
 		VerifyConnection: func(s tls.ConnectionState) error {
 			return s.PeerCertificates[0].VerifyHostname(serverName)
 		},
 	}
 }
 
-// PEM holds a generated authority and certificate.
+// PEM holds a generated authority, and a certificate with its key.
 type PEM struct {
 	CA   []byte
 	Cert []byte
 	Key  []byte
 }
 
-// certificateLifetime of generated certificates, which serve dev and tests.
+// certificateLifetime is how long generated certificates are valid. Only dev and tests use them.
 const certificateLifetime = 10 * 365 * 24 * time.Hour
 
-// Generate makes an authority and a certificate signed by it, for dev and tests.
+// Generate creates an authority and an entry's certificate signed by it, for dev and tests.
 func Generate() (PEM, error) {
 	ca, caKey, err := newAuthority(time.Now())
 	if err != nil {
@@ -130,7 +132,7 @@
 	}, nil
 }
 
-// newAuthority makes an authority.
+// newAuthority creates an authority that signs its own certificate.
 func newAuthority(now time.Time) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -1,3 +1,5 @@
+// The traffic of peer connections, in bytes and packets.
+
 package peer
 
 import (
@@ -7,10 +9,10 @@
 	"github.com/quic-go/quic-go"
 )
 
-// datagramHeader is the size of the IPv4 and UDP headers of one packet.
+// packetHeaderBytes is the size of the IPv4 and UDP headers of one packet.
 const packetHeaderBytes = 28
 
-// Traffic is what went over connections, with the UDP and IP headers.
+// Traffic counts the bytes and packets of connections, with the UDP and IP headers.
 type Traffic struct {
 	BytesSent       uint64
 	BytesReceived   uint64
@@ -18,7 +20,7 @@
 	PacketsReceived uint64
 }
 
-// Add returns the sum.
+// Add returns the sum of both counts.
 func (t Traffic) Add(o Traffic) Traffic {
 	return Traffic{
 		BytesSent:       t.BytesSent + o.BytesSent,
@@ -38,14 +40,14 @@
 	}
 }
 
-// meter adds up the traffic of connections, also of those that have ended.
+// trafficMeter adds up the traffic of connections, including those that have ended.
 type trafficMeter struct {
 	mu     sync.Mutex
 	open   map[*quic.Conn]struct{}
 	closed Traffic
 }
 
-// follow counts a connection until and beyond its end.
+// track counts a connection, also after its end.
 func (m *trafficMeter) track(c *quic.Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,7 +63,7 @@
 	})
 }
 
-// total returns the traffic so far.
+// total returns the traffic of all connections so far.
 func (m *trafficMeter) total() Traffic {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -75,5 +77,5 @@
 // Traffic returns the traffic of the connections made by this client.
 func (c *Client) Traffic() Traffic { return c.meter.total() }
 
-// Traffic returns the traffic of the connections taken by this server.
+// Traffic returns the traffic of the connections that the server has accepted.
 func (s *Server) Traffic() Traffic { return s.meter.total() }
