--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -1,3 +1,5 @@
+// Tracked connections: they know whether a request may have been sent, and can prevent later writes.
+
 package backend
 
 import (
@@ -9,32 +11,28 @@
 )
 
 // errSealed is returned by writes on a sealed connection.
-var errSealed = errors.New("connection sealed")
+var errSealed = errors.New("the connection is sealed against writes")
 
-// trackedConn knows whether a request's bytes may have left this process.
+// trackedConn is a connection that knows whether bytes of a request may have been sent.
 //
-// net/http reports errors before or while its writing goroutine is at work, so the
-// error alone doesn't prove that nothing was sent, and a verdict of "not run" could
-// be followed by a write: the task would start although its caller was told that it
-// did not, or start twice. The lock orders writes and verdicts: after seal no byte
-// leaves any more.
+// net/http may report an error before its writing goroutine starts, or while it runs. So the error alone does not
+// prove that nothing was sent. A write after a "not run" verdict would start a task whose caller was told that it did
+// not start, or start the task twice. The lock orders writes and verdicts: no byte is sent after seal.
 type trackedConn struct {
 	net.Conn
 	mu     sync.Mutex
 	sealed bool
-	// writes counts the calls of Write that may have sent something.
+	// writes counts the calls of Write that may have sent data.
 	writes int
-	// deadline of the request on the connection; none when zero.
+	// deadline is the deadline of the request that uses the connection; zero: none.
 	deadline time.Time
 }
 
-// Write counts the call before it reaches the socket, and takes the count back only
-// when the kernel accepted nothing.
+// Write counts the call before it writes to the socket. It undoes the count only if the kernel accepted no byte.
 func (c *trackedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	// The process may have been frozen since the deadline was last checked. Its timers
-	// fire only some time after it woke, and a task sent before that would start after
-	// its caller gave up.
+	// The process may have been frozen since the deadline was last checked. Its timers fire only some time after
+	// it resumes. A task sent before that would start after its caller has stopped waiting.
 	if !c.deadline.IsZero() && !time.Now().Before(c.deadline) {
 		c.sealed = true
 	}
@@ -53,21 +51,21 @@
 	return n, err
 }
 
-// setDeadline sets the deadline of the request that the connection was taken for.
+// setDeadline sets the deadline of the request that uses the connection from now on.
 func (c *trackedConn) setDeadline(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
 }
 
-// mark returns the count of writes, to be compared by seal.
+// writeCount returns the number of writes, for a later call of seal.
 func (c *trackedConn) writeCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal forbids further writes and tells whether something may have been sent since mark.
+// seal prevents further writes and reports whether data may have been sent since writeCount returned writesBefore.
 func (c *trackedConn) seal(writesBefore int) (sent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -1,3 +1,2 @@
-// Package backend calls workers over HTTP and says for every failure whether the
-// task may have run.
+// Package backend calls workers over HTTP. Each failure reports whether the task may have run.
 package backend
--- a/internal/backend/headers.go
+++ b/internal/backend/headers.go
@@ -1,3 +1,5 @@
+// The HTTP headers of the calls to backend servers.
+
 package backend
 
 // Headers of the backend server interface.
@@ -8,8 +10,8 @@
 	HeaderTask = "Lavendercleat-Task"
 	// HeaderRemaining carries the milliseconds left until the deadline.
 	HeaderRemaining = "Lavendercleat-Remaining-Ms"
-	// HeaderNotRun with value 1 on a 503 says that the task was refused before its start.
+	// HeaderNotRun with value 1 on a 503 reply reports that the worker refused the task before its start.
 	HeaderNotRun = "Lavendercleat-Not-Run"
-	// HeaderLeaving with value 1 says that the worker is leaving.
+	// HeaderLeaving with value 1 reports that the worker is leaving.
 	HeaderLeaving = "Lavendercleat-Leaving"
 )
