--- a/internal/clock/sleep.go
+++ b/internal/clock/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits and returns false when the context ended first.
+// Sleep waits for a duration. It returns false if the context ends first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/httpstop/httpstop.go
+++ b/internal/httpstop/httpstop.go
@@ -1,6 +1,6 @@
-// Package httpstop ends an HTTP server without cutting off requests that have reached this
-// machine. [http.Server.Shutdown] closes a connection that it knows as idle at once; where the
-// processor is short, a request may wait there unread.
+// Package httpstop stops an HTTP server without cutting off requests that have reached this machine.
+// [http.Server.Shutdown] closes every connection that it knows as idle at once. If the processor is busy, an unread
+// request may wait on such a connection.
 package httpstop
 
 import (
@@ -14,11 +14,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// look is the time between two looks at the connections during a stop.
+// pollInterval is the time between two checks of the connections during a stop.
 const pollInterval = 5 * time.Millisecond
 
-// Server is an HTTP server with a stop of its own. Its handler is to answer with "Connection:
-// close" from the stop's beginning on, so that callers on open connections go elsewhere.
+// Server is an HTTP server with its own stop. From the beginning of the stop, its handler must answer with
+// "Connection: close", so that callers on open connections use another server.
 type Server struct {
 	http *http.Server
 
@@ -28,14 +28,14 @@
 	accepting bool
 }
 
-// New returns a server; s must not be used otherwise from then on.
+// New returns a server that runs s. The caller must not use s directly any more.
 func New(s *http.Server) *Server {
-	n := &Server{http: s, conns: make(map[net.Conn]http.ConnState)}
-	s.ConnState = n.trackState
-	return n
+	server := &Server{http: s, conns: make(map[net.Conn]http.ConnState)}
+	s.ConnState = server.trackState
+	return server
 }
 
-// Serve takes connections until the stop.
+// Serve accepts connections until the server stops.
 func (s *Server) Serve(l net.Listener) error {
 	l = &onceListener{Listener: l}
 	s.mu.Lock()
@@ -50,8 +50,8 @@
 	return err
 }
 
-// onceListener is closed once: the server closes it again at its end, and would tell that as the
-// failure of a stop that has gone well, unless its own Accept has noticed the first time already.
+// onceListener closes its listener only once. http.Server closes the listener again when it shuts down. Without
+// onceListener, it would report an error for that after a successful stop, unless its Accept has returned already.
 type onceListener struct {
 	net.Listener
 	once sync.Once
@@ -64,6 +64,7 @@
 	return l.err
 }
 
+// trackState records the state of a connection, and forgets connections that are closed or hijacked.
 func (s *Server) trackState(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,9 +75,9 @@
 	s.conns[c] = state
 }
 
-// Stop takes no further connections and waits until the requests that have come are answered
-// or ctx ends. A request that is still on its way to a connection as it is closed gets no
-// answer, as HTTP/1.1 has no word for it: its caller sends it again.
+// Stop stops accepting connections and waits until all requests that have arrived are answered or ctx ends. A request
+// that is still on its way when its connection is closed gets no answer, because HTTP/1.1 has no message for this. Its
+// caller sends it again.
 func (s *Server) Stop(ctx context.Context) error {
 	err := s.closeListener()
 	t := time.NewTicker(pollInterval)
@@ -90,7 +91,7 @@
 	return errors.CombineErrors(s.http.Shutdown(ctx), err)
 }
 
-// Close cuts off all connections.
+// Close closes all connections at once.
 func (s *Server) Close() error { return s.http.Close() }
 
 func (s *Server) closeListener() error {
@@ -103,9 +104,8 @@
 	return s.listener.Close()
 }
 
-// closeIdle closes the connections on which nothing has come since the last answer, and
-// returns how many are left. One that has carried no request yet is left open: it was opened
-// for one.
+// closeIdle closes the connections on which nothing has arrived since the last answer, and returns how many are
+// left. It keeps a connection that has carried no request yet, because the caller opened it for one.
 func (s *Server) closeIdle() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,8 +118,8 @@
 	return len(s.conns)
 }
 
-// hasUnread reports whether bytes have come on a connection that nobody has read. Closed with
-// these, the connection would be reset, and a whole request with it.
+// hasUnread reports whether a connection has received bytes that were not read. Closing such a connection would reset
+// it, and the caller of a complete request would get no answer.
 func hasUnread(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -127,11 +127,11 @@
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		return false // it is closed already
+		return false // the connection is already closed
 	}
 	var n int
 	var recvErr error
-	// Control, not Read: the server's own read holds the lock of reads for as long as it waits.
+	// Use Control, not Read, because the server's own pending read holds the read lock.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, recvErr = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/tcp/dialer.go
+++ b/internal/tcp/dialer.go
@@ -1,4 +1,4 @@
-// Package tcp makes connections that notice when the other end is gone for good.
+// Package tcp makes TCP connections that detect within a set time that the other end is gone.
 package tcp
 
 import (
@@ -10,10 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dialer returns a dialer. A connection is given up when it is not made within
-// timeout, when sent data is not acknowledged for silence, or after about silence
-// without any sign of the other end: something on the way may have lost track of it,
-// and without these the kernel would wait for minutes to hours.
+// Dialer returns a dialer whose connections fail in three cases: the connection is not made within timeout, sent data
+// stays unacknowledged for silence, or the other end is silent for about silence. Something on the path may have lost
+// track of the connection. Without these limits the kernel would wait for minutes to hours.
 func Dialer(timeout, silence time.Duration) net.Dialer {
 	const probes = 3
 	probeInterval := max(silence/(probes+1), time.Second)
@@ -24,8 +23,8 @@
 	}
 }
 
-// userTimeout sets how long sent data may go unacknowledged. Without it the kernel
-// resends for minutes on a connection whose other end is gone for good.
+// userTimeout returns a function that limits how long sent data may stay unacknowledged. Without this limit the kernel
+// resends data for minutes on a connection whose other end is gone.
 func userTimeout(d time.Duration) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var sockErr error
