--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -1,5 +1,5 @@
-// Package platform talks to the platform's service: the key-value store that holds
-// the configuration, and the list of VMs.
+// Package platform is a client of the platform's service. The service has a key-value store, which holds the
+// configuration, and the list of VMs.
 package platform
 
 import (
@@ -21,11 +21,12 @@
 
 // Errors of the platform's service.
 var (
-	// ErrNotFound: the key has no value.
+	// ErrNotFound is returned if the key has no value.
 	ErrNotFound = errors.New("key not found")
-	// ErrConflict: the key's revision is not the expected one; nothing was written.
+	// ErrConflict is returned if the key's revision is not the expected one. Nothing was written.
 	ErrConflict = errors.New("revision conflict")
-	// ErrUnavailable: no answer, or an error. A write may have taken effect.
+	// ErrUnavailable is returned if the service does not answer, or answers with an error. A write may have taken
+	// effect.
 	ErrUnavailable = errors.New("platform unavailable")
 )
 
@@ -34,16 +35,15 @@
 	PathKeys  = "/v1/keys/"
 	PathVMs   = "/v1/vms"
 	ParamPrev = "prev"
-	// ParamAfter asks to wait for a revision above the given one.
+	// ParamAfter makes the call wait for a revision other than the given one.
 	ParamAfter = "after"
-	// ParamWait is the longest wait in milliseconds.
+	// ParamWait is the longest wait, in milliseconds.
 	ParamWait = "wait_ms"
-	// MaxValueBytes is the largest value in bytes.
+	// MaxValueBytes is the largest size of a value.
 	MaxValueBytes = 1 << 20
 )
 
-// Value is a value with the revision of its key. The revision counts the writes of
-// the key from 1.
+// Value is the value of a key with the key's revision. The revision counts the writes of the key, from 1.
 type Value struct {
 	Revision uint64 `json:"revision"`
 	Value    []byte `json:"value"`
@@ -58,11 +58,10 @@
 	Traffic Traffic
 }
 
-// NewClient returns a client of the service at a base URL with DefaultTimeout.
+// NewClient returns a client of the service at a base URL, with DefaultTimeout.
 func NewClient(base string) *Client { return NewClientTimeout(base, DefaultTimeout) }
 
-// NewClientTimeout returns a client that gives up a call after a timeout, a watch
-// after its wait and the timeout.
+// NewClientTimeout returns a client whose calls end after a timeout. A watch ends after its wait and the timeout.
 func NewClientTimeout(base string, timeout time.Duration) *Client {
 	c := &Client{base: base, timeout: timeout}
 	c.Traffic.dialer = tcp.Dialer(dialTimeout, silenceTimeout)
@@ -72,15 +71,15 @@
 }
 
 const (
-	// DefaultTimeout leaves room for a slow service: giving up calls that it would
-	// have answered only adds to its load.
+	// DefaultTimeout allows for a slow service. Ending calls that the service would still answer only adds to
+	// its load.
 	DefaultTimeout = 12 * time.Second
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout is how long a connection attempt may take.
 	dialTimeout = 2 * time.Second
-	// silenceTimeout is the time after which a connection whose other end gives no
-	// sign is given up, also while a watch waits on it.
+	// silenceTimeout is how long a connection may be silent before it is closed, also while a watch waits on
+	// it.
 	silenceTimeout = 4 * time.Second
-	// idleTimeout keeps connections only while they are in use, as they may go silent.
+	// idleTimeout closes connections soon after their last use, because they may go silent while idle.
 	idleTimeout = 5 * time.Second
 )
 
@@ -92,9 +91,9 @@
 	return c.get(ctx, key, 0, url.Values{})
 }
 
-// Watch waits up to wait for a revision of the key that differs from the given one
-// and returns the value; ok is false when there was none. A store that came back
-// older shows as a lower revision, so a difference either way ends the wait.
+// Watch waits for up to wait until the key's revision differs from the given one, and returns the value. ok is false if
+// the revision has not changed. A store that was restored from an older state has a lower revision, so a change in
+// either direction ends the wait.
 func (c *Client) Watch(ctx context.Context, key string, revision uint64, wait time.Duration) (v Value, ok bool, err error) {
 	v, err = c.get(ctx, key, wait, watchParams(revision, wait))
 	return v, err == nil && v.Revision != revision, err
@@ -114,14 +113,13 @@
 		return v, err
 	}
 	if err := json.Unmarshal(b, &v); err != nil {
-		return v, errors.Mark(errors.Wrap(err, "reading the platform's answer"), ErrUnavailable)
+		return v, errors.Mark(errors.Wrapf(err, "decoding the platform's answer of %d bytes", len(b)), ErrUnavailable)
 	}
 	return v, nil
 }
 
-// CompareAndSwap writes a key if its revision is prev (0: it has no value) and
-// returns the new revision. ErrConflict proves that nothing was written;
-// ErrUnavailable leaves it open.
+// CompareAndSwap writes a key if its revision is prev (0: it has no value), and returns the new revision. After
+// ErrConflict, nothing was written. After ErrUnavailable, the write may have taken effect.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, prev uint64, value []byte) (uint64, error) {
 	params := url.Values{ParamPrev: {strconv.FormatUint(prev, 10)}}
 	b, err := c.do(ctx, http.MethodPut, PathKeys+key+"?"+params.Encode(), value, 0)
@@ -130,13 +128,13 @@
 	}
 	var v Value
 	if err := json.Unmarshal(b, &v); err != nil {
-		return 0, errors.Mark(errors.Wrap(err, "reading the platform's answer"), ErrUnavailable)
+		return 0, errors.Mark(errors.Wrapf(err, "decoding the platform's answer of %d bytes", len(b)), ErrUnavailable)
 	}
 	return v.Revision, nil
 }
 
-// VMs waits up to wait for a VM list whose version differs from the given one and
-// returns the list; ok is false when there was none.
+// VMs waits for up to wait until the version of the VM list differs from the given one, and returns the list. ok is
+// false if the version has not changed.
 func (c *Client) VMs(ctx context.Context, version uint64, wait time.Duration) (l *schema.VmList, ok bool, err error) {
 	b, err := c.do(ctx, http.MethodGet, PathVMs+"?"+watchParams(version, wait).Encode(), nil, wait)
 	if err != nil {
@@ -144,13 +142,13 @@
 	}
 	l = new(schema.VmList)
 	if err := proto.Unmarshal(b, l); err != nil {
-		return nil, false, errors.Mark(errors.Wrap(err, "reading the VM list"), ErrUnavailable)
+		return nil, false, errors.Mark(errors.Wrapf(err, "decoding the VM list of %d bytes", len(b)), ErrUnavailable)
 	}
 	return l, l.GetVersion() != version, nil
 }
 
-// do makes one call, which the service may hold for wait. net/http may repeat a GET by itself, which is harmless; it
-// never repeats a PUT here, for the body is hidden.
+// do makes one call, during which the service may wait for up to wait. net/http may resend a GET by itself, which does
+// no harm. It never resends a PUT, because the type of the body is hidden.
 func (c *Client) do(ctx context.Context, method, path string, body []byte, wait time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
 	defer cancel()
@@ -167,7 +165,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		// The path may have gone silent for every connection made before now.
+		// The path may have gone silent for every existing connection.
 		c.http.CloseIdleConnections()
 		return nil, errors.Mark(errors.Wrap(err, "calling the platform"), ErrUnavailable)
 	}
@@ -188,6 +186,6 @@
 	case http.StatusConflict, http.StatusPreconditionFailed:
 		return ErrConflict
 	default:
-		return errors.Wrapf(ErrUnavailable, "status %d", code)
+		return errors.Wrapf(ErrUnavailable, "the platform answered with status %d; want %d", code, http.StatusOK)
 	}
 }
