--- a/internal/mesh/link.go
+++ b/internal/mesh/link.go
@@ -1,3 +1,5 @@
+// The outgoing connection of a link: dialing, queued frames, heartbeats and time-outs.
+
 package mesh
 
 import (
@@ -15,66 +17,71 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// link is this daemon's end of the link to one address.
+// link is this daemon's end of the link to one address. It has an outgoing connection, which this daemon
+// dials and writes to, and an incoming one, which the peer dials and writes to.
 type link struct {
 	mesh    *Mesh
 	address netip.AddrPort
 	wake    chan struct{}
 
-	// order keeps calls of the handler for this peer in order; taken before mu.
-	order sync.Mutex
+	// deliveryMu keeps the handler's calls for this peer in order. It is locked before mu.
+	deliveryMu sync.Mutex
 
 	mu sync.Mutex
-	// peer is the process on the other side; its incarnation is 0 while unknown.
+	// peer is the process at the other end. Its incarnation is 0 while the process is unknown.
 	peer Peer
-	// up: messages pass both ways.
+	// up is set while messages pass in both directions.
 	up bool
-	// session numbers the state that both ends keep with each other. An end that drops its
-	// state raises it, and the other end drops its own and takes the number over: were each
-	// to count for itself, one loss could have both drop their state by turns for ever.
+	// session is the number of the state that both ends keep about each other. An end that drops its
+	// state increments the number. The other end then drops its own state and takes over the number. If
+	// each end counted its own sessions, the two could make each other drop their state in turns forever
+	// after a single loss.
 	session uint64
-	// connected is the incarnation that our connection reached, 0 without one.
-	connected uint64
-	conn      net.Conn
-	outbox    []*schema.Frame
-	// sent is how many of the outbox were written on this connection.
-	sent    int
-	next    uint64
-	arrived uint64
-	// echoed is when the latest echo of one of our pulses was sent by us; echo is the
-	// peer's latest pulse.
-	echoed, echo int64
-	// interval is the time between the peer's heartbeats.
-	interval time.Duration
-	// told is the number of the heartbeat last written on this connection; 0: none.
-	told uint64
-	// dialed is when the connection was made, lost when the last session ended: an echo
-	// of an older pulse doesn't show that messages pass now.
-	dialed, lost int64
-	// lastNamed is when something last named this address.
+	// connectedTo is the incarnation of the process that the outgoing connection reached; 0 without a
+	// connection.
+	connectedTo uint64
+	conn        net.Conn
+	// outbox holds the frames that the peer has not acknowledged.
+	outbox []*schema.Frame
+	// writtenCount is how many frames of the outbox were written to this connection.
+	writtenCount int
+	// lastNumber is the number of the latest frame sent, lastReceived that of the latest one received.
+	lastNumber   uint64
+	lastReceived uint64
+	// lastEchoed is the time of the latest of our heartbeats that the peer has echoed. echoNext is the
+	// time in the peer's latest heartbeat, which our next heartbeat echoes.
+	lastEchoed, echoNext int64
+	// peerInterval is the time between the peer's heartbeats.
+	peerInterval time.Duration
+	// lastHeartbeat is the number of the latest heartbeat written to this connection; 0: none.
+	lastHeartbeat uint64
+	// connectedAt is when the outgoing connection was made, sessionEndedAt when the last session ended.
+	// An echo of a heartbeat older than that does not show that messages pass now.
+	connectedAt, sessionEndedAt int64
+	// lastNamed is when a peer list, or the peer itself, last named this address.
 	lastNamed time.Time
-	// ackDue: the peer waits for an acknowledgement.
+	// ackDue is set when the peer waits for an acknowledgement.
 	ackDue bool
-	// pulseDue asks for a heartbeat at once: the link comes up by it.
-	pulseDue bool
-	// failed: an attempt to reach the peer has failed.
-	failed bool
-	// parted: the daemon is not to be linked any more.
-	parted bool
-	// elder: the peer had been there for a while when it greeted.
-	elder bool
-	// redial asks for a dial without a pause; stopDial ends the one that began at dialing,
-	// nil when there is none.
-	redial   chan struct{}
-	stopDial func()
-	dialing  time.Time
+	// heartbeatDue requests a heartbeat at once, by which the link comes up.
+	heartbeatDue bool
+	// attemptFailed is set once an attempt to reach the peer has failed.
+	attemptFailed bool
+	// excluded is set when this daemon must not be linked to the peer any more.
+	excluded bool
+	// established is set if the peer was no longer starting when it sent its last hello.
+	established bool
+	// redialNow requests a dial without a pause. cancelDial cancels the dial in progress, which began at
+	// dialStarted; it is nil if no dial is in progress.
+	redialNow   chan struct{}
+	cancelDial  func()
+	dialStarted time.Time
 }
 
 func newLink(m *Mesh, a netip.AddrPort) *link {
-	return &link{mesh: m, address: a, wake: make(chan struct{}, 1), redial: make(chan struct{}, 1), session: 1, lastNamed: time.Now(), interval: pulseInterval}
+	return &link{mesh: m, address: a, wake: make(chan struct{}, 1), redialNow: make(chan struct{}, 1), session: 1, lastNamed: time.Now(), peerInterval: defaultHeartbeatInterval}
 }
 
-func (l *link) named() {
+func (l *link) markNamed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastNamed = time.Now()
@@ -86,26 +93,26 @@
 	if l.conn != nil {
 		l.conn.Close()
 	}
-	l.poke()
+	l.wakeWriter()
 }
 
-// part ends the link for good.
-func (l *link) part() {
+// exclude ends the link permanently.
+func (l *link) exclude() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.parted = true
+	l.excluded = true
 	if l.conn != nil {
 		l.conn.Close()
 	}
 }
 
-func (l *link) isParted() bool {
+func (l *link) isExcluded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.parted
+	return l.excluded
 }
 
-func (l *link) poke() {
+func (l *link) wakeWriter() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -118,91 +125,94 @@
 	return l.peer, l.up
 }
 
-// send queues a frame for the process, if that is still the one linked.
+// send queues a frame for a process. It drops the frame if the link is not up or leads to another process.
 func (l *link) send(incarnation uint64, f *schema.Frame) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.up || l.peer.Incarnation != incarnation {
 		return
 	}
-	l.next++
-	f.Number = l.next
+	l.lastNumber++
+	f.Number = l.lastNumber
 	l.outbox = append(l.outbox, f)
-	l.poke()
+	l.wakeWriter()
 }
 
-// run dials and writes until the mesh closes or the peer is forgotten.
+// run dials and writes until the mesh is closed, or the peer is excluded or not named any more.
 func (l *link) run() {
 	for l.mesh.ctx.Err() == nil {
 		err := l.connect()
-		if errors.Is(err, errBehind) {
+		if errors.Is(err, errStaleSession) {
 			continue
 		}
 		l.mu.Lock()
-		l.failed = l.failed || err != nil
+		l.attemptFailed = l.attemptFailed || err != nil
 		l.mu.Unlock()
-		if errors.Is(err, syscall.ECONNREFUSED) || l.isParted() {
-			l.lose(true)
+		if errors.Is(err, syscall.ECONNREFUSED) || l.isExcluded() {
+			l.endSession(true)
 		}
-		l.checkSilence()
-		if l.forgotten() || l.isParted() {
-			l.mesh.forget(l)
+		l.checkTimeout()
+		if l.expired() || l.isExcluded() {
+			l.mesh.removeLink(l)
 			return
 		}
 		select {
 		case <-l.mesh.ctx.Done():
-		case <-l.redial:
-		case <-time.After(redialPause):
+		case <-l.redialNow:
+		case <-time.After(redialInterval):
 		}
 	}
 }
 
-// dial makes one attempt to reach the peer, which ends early when the peer dials us after it
-// has begun.
+// dial makes one attempt to reach the peer. dialNow cancels the attempt if the peer dials this daemon
+// meanwhile and the attempt is stale.
 func (l *link) dial() (net.Conn, error) {
 	ctx, cancel := context.WithCancel(l.mesh.ctx)
 	defer cancel()
 	l.mu.Lock()
-	l.stopDial, l.dialing = cancel, time.Now()
+	l.cancelDial, l.dialStarted = cancel, time.Now()
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		l.stopDial = nil
+		l.cancelDial = nil
 		l.mu.Unlock()
 	}()
 	return l.mesh.dialer.DialContext(ctx, "tcp4", l.address.String())
 }
 
-// peerDialed has the peer, which is surely there now, dialed at once. The link is locked.
-func (l *link) peerDialed() {
-	if l.conn != nil || l.stopDial != nil && time.Since(l.dialing) < staleDial {
+// dialNow starts a dial at once after the peer has dialed this daemon, as the peer is certainly running.
+// A connection or a recent dial stays. The caller holds mu.
+func (l *link) dialNow() {
+	if l.conn != nil || l.cancelDial != nil && time.Since(l.dialStarted) < staleDialAge {
 		return
 	}
-	if l.stopDial != nil {
-		l.stopDial()
+	if l.cancelDial != nil {
+		l.cancelDial()
 	}
 	select {
-	case l.redial <- struct{}{}:
+	case l.redialNow <- struct{}{}:
 	default:
 	}
 }
 
-func (l *link) isElder() bool {
+func (l *link) isEstablished() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.elder
+	return l.established
 }
 
-func (l *link) forgotten() bool {
+// expired reports whether the peer is not up and nothing has named it for forgetTimeout.
+func (l *link) expired() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.up && time.Since(l.lastNamed) > forgetAfter
+	return !l.up && time.Since(l.lastNamed) > forgetTimeout
 }
 
-// errBehind: the greeting carried a session that has ended; the next one follows at once.
-var errBehind = errors.New("the session has ended")
+// errStaleSession is returned when our hello carried a session that has ended. run dials again at once
+// with the new session.
+var errStaleSession = errors.New("the hello carried a session that has ended")
 
-// connect dials, greets and writes until the connection is given up.
+// connect dials, exchanges hellos and writes until the connection ends or is closed.
 func (l *link) connect() error {
 	c, err := l.dial()
 	if err != nil {
@@ -210,51 +220,51 @@
 	}
 	defer c.Close()
 	l.mu.Lock()
-	hello := l.mesh.greeting(l.session)
+	hello := l.mesh.identity(l.session)
 	l.mu.Unlock()
 	_ = c.SetDeadline(time.Now().Add(writeTimeout))
 	if _, err := protodelim.MarshalTo(c, &schema.Frame{Body: &schema.Frame_Hello{Hello: hello}}); err != nil {
 		return err
 	}
 	r := bufio.NewReaderSize(c, 512)
-	answer, err := readHello(r)
+	reply, err := readHello(r)
 	if err != nil {
 		return err
 	}
 	_ = c.SetDeadline(time.Time{})
-	if !l.reached(answer, hello.GetSession(), c) {
-		return errBehind
+	if !l.handleHelloReply(reply, hello.GetSession(), c) {
+		return errStaleSession
 	}
 	broken := make(chan struct{})
 	l.mesh.wg.Go(func() {
 		defer close(broken)
-		_, _ = r.ReadByte() // nothing comes but the end
+		_, _ = r.ReadByte() // the peer sends nothing more here, so a read returns only when the connection ends
 	})
 	defer func() {
 		c.Close()
 		<-broken
 		l.mu.Lock()
-		l.conn, l.connected = nil, 0
+		l.conn, l.connectedTo = nil, 0
 		l.mu.Unlock()
 	}()
 	return l.write(c, broken)
 }
 
-// write sends pulses and the outbox until the connection breaks or goes silent.
+// write sends heartbeats and the outbox until the connection breaks or goes silent.
 func (l *link) write(c net.Conn, broken chan struct{}) error {
 	w := bufio.NewWriterSize(c, 4096)
 	due := time.Now()
 	tick := time.NewTimer(0)
 	defer tick.Stop()
 	for {
-		pulse := !time.Now().Before(due)
-		if pulse {
-			due = time.Now().Add(l.mesh.nextPulse())
+		heartbeat := !time.Now().Before(due)
+		if heartbeat {
+			due = time.Now().Add(l.mesh.untilNextHeartbeat())
 		}
-		if err := l.flush(c, w, pulse); err != nil {
+		if err := l.flush(c, w, heartbeat); err != nil {
 			return err
 		}
-		tick.Reset(min(time.Until(due), l.redialIn()))
+		tick.Reset(min(time.Until(due), l.untilRedial()))
 		select {
 		case <-l.mesh.ctx.Done():
 			return nil
@@ -262,30 +272,30 @@
 			return nil
 		case <-l.wake:
 		case <-tick.C:
-			if l.redialIn() <= 0 {
+			if l.untilRedial() <= 0 {
 				return nil
 			}
 		}
 	}
 }
 
-// flush writes what is queued, and a pulse.
-func (l *link) flush(c net.Conn, w *bufio.Writer, pulse bool) error {
-	var common []byte
-	pulse = l.takePulseDue() || pulse
-	if pulse {
+// flush writes the queued frames, and a heartbeat if one is due.
+func (l *link) flush(c net.Conn, w *bufio.Writer, heartbeat bool) error {
+	var shared []byte
+	heartbeat = l.takeHeartbeatDue() || heartbeat
+	if heartbeat {
 		var err error
-		if common, err = l.heartbeat(); err != nil {
+		if shared, err = l.sharedHeartbeat(); err != nil {
 			return err
 		}
 	}
 	l.mu.Lock()
-	frames := l.outbox[min(l.sent, len(l.outbox)):]
-	l.sent = len(l.outbox)
-	ack := l.arrived
+	frames := l.outbox[min(l.writtenCount, len(l.outbox)):]
+	l.writtenCount = len(l.outbox)
+	ack := l.lastReceived
 	needsAck := l.ackDue
 	l.ackDue = false
-	echo := l.echo
+	echo := l.echoNext
 	l.mu.Unlock()
 	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	for _, f := range frames {
@@ -295,69 +305,72 @@
 		}
 	}
 	switch {
-	case pulse:
-		if err := writePulse(w, common, ack, l.mesh.clock(), echo); err != nil {
+	case heartbeat:
+		if err := writeHeartbeat(w, shared, ack, l.mesh.uptimeMs(), echo); err != nil {
 			return err
 		}
 	case needsAck && len(frames) == 0:
-		return nil // the next pulse acknowledges
+		return nil // the next heartbeat acknowledges the received frames
 	}
 	return w.Flush()
 }
 
-// heartbeat returns the common part of a heartbeat for what was written before on this
-// connection. A write that fails ends the connection, so what it left out isn't missed.
-func (l *link) heartbeat() ([]byte, error) {
+// sharedHeartbeat returns the part of a heartbeat that is the same for all peers, as changes to the one
+// last written to this connection. A failed write ends the connection, and the next connection starts
+// with a full heartbeat. So the peer misses no change.
+func (l *link) sharedHeartbeat() ([]byte, error) {
 	l.mu.Lock()
-	has := l.told
+	base := l.lastHeartbeat
 	l.mu.Unlock()
-	b, number, err := l.mesh.pulse.get(l.mesh.handler, has)
+	b, number, err := l.mesh.heartbeats.get(l.mesh.handler, base)
 	l.mu.Lock()
-	l.told = number
+	l.lastHeartbeat = number
 	l.mu.Unlock()
 	return b, err
 }
 
-func (l *link) takePulseDue() bool {
+func (l *link) takeHeartbeatDue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	due := l.pulseDue
-	l.pulseDue = false
+	due := l.heartbeatDue
+	l.heartbeatDue = false
 	return due
 }
 
-func (l *link) settled() bool {
+// tried reports whether the link is up or an attempt to reach the peer has failed.
+func (l *link) tried() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.up || l.failed
+	return l.up || l.attemptFailed
 }
 
-// silentFor is the age of the latest pulse of ours that the peer echoed.
-func (l *link) silentFor() time.Duration {
+// sinceLastEcho returns the age of the latest of our heartbeats that the peer has echoed.
+func (l *link) sinceLastEcho() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Duration(l.mesh.clock()-l.echoed) * time.Millisecond
+	return time.Duration(l.mesh.uptimeMs()-l.lastEchoed) * time.Millisecond
 }
 
-// redialIn is the time until the connection has been silent for too long: our heartbeats
-// are echoed with the peer's next ones.
-func (l *link) redialIn() time.Duration {
-	own := l.mesh.pulse.interval()
+// untilRedial returns the time until the connection counts as silent and is replaced. The peer echoes our
+// heartbeats in its own next ones.
+func (l *link) untilRedial() time.Duration {
+	own := l.mesh.heartbeats.interval()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	silent := time.Duration(l.mesh.clock()-max(l.echoed, l.dialed)) * time.Millisecond
-	return own + l.interval + redialSlack - silent
+	silent := time.Duration(l.mesh.uptimeMs()-max(l.lastEchoed, l.connectedAt)) * time.Millisecond
+	return own + l.peerInterval + redialSlack - silent
 }
 
-// checkSilence counts a peer as lost that has not echoed for PeerTimeout.
-func (l *link) checkSilence() {
-	if _, up := l.peerIfUp(); up && l.silentFor() > PeerTimeout {
-		l.lose(false)
+// checkTimeout ends the session if the peer has echoed no heartbeat within PeerTimeout.
+func (l *link) checkTimeout() {
+	if _, up := l.peerIfUp(); up && l.sinceLastEcho() > PeerTimeout {
+		l.endSession(false)
 	}
 }
 
-// incomingBroke looks at once whether the peer is still there.
-func (l *link) incomingBroke() {
+// closeOutgoing closes the outgoing connection. run then dials again, which shows at once whether the
+// peer is still running.
+func (l *link) closeOutgoing() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil {
@@ -365,10 +378,10 @@
 	}
 }
 
-// pulseNow sends a heartbeat at once.
-func (l *link) pulseNow() {
+// sendHeartbeatNow makes the writer send a heartbeat at once.
+func (l *link) sendHeartbeatNow() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.pulseDue = true
-	l.poke()
+	l.heartbeatDue = true
+	l.wakeWriter()
 }
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -1,3 +1,5 @@
+// The traffic of peer connections, in bytes and packets.
+
 package peer
 
 import (
@@ -7,10 +9,10 @@
 	"github.com/quic-go/quic-go"
 )
 
-// datagramHeader is the size of the IPv4 and UDP headers of one packet.
-const datagramHeader = 28
+// packetHeaderBytes is the size of the IPv4 and UDP headers of one packet.
+const packetHeaderBytes = 28
 
-// Traffic is what went over connections, with the UDP and IP headers.
+// Traffic counts the bytes and packets of connections, with the UDP and IP headers.
 type Traffic struct {
 	BytesSent       uint64
 	BytesReceived   uint64
@@ -18,7 +20,7 @@
 	PacketsReceived uint64
 }
 
-// Add returns the sum.
+// Add returns the sum of both counts.
 func (t Traffic) Add(o Traffic) Traffic {
 	return Traffic{
 		BytesSent:       t.BytesSent + o.BytesSent,
@@ -31,22 +33,22 @@
 func trafficOf(c *quic.Conn) Traffic {
 	s := c.ConnectionStats()
 	return Traffic{
-		BytesSent:       s.BytesSent + datagramHeader*s.PacketsSent,
-		BytesReceived:   s.BytesReceived + datagramHeader*s.PacketsReceived,
+		BytesSent:       s.BytesSent + packetHeaderBytes*s.PacketsSent,
+		BytesReceived:   s.BytesReceived + packetHeaderBytes*s.PacketsReceived,
 		PacketsSent:     s.PacketsSent,
 		PacketsReceived: s.PacketsReceived,
 	}
 }
 
-// meter adds up the traffic of connections, also of those that have ended.
-type meter struct {
-	mu    sync.Mutex
-	open  map[*quic.Conn]struct{}
-	ended Traffic
+// trafficMeter adds up the traffic of connections, including those that have ended.
+type trafficMeter struct {
+	mu     sync.Mutex
+	open   map[*quic.Conn]struct{}
+	closed Traffic
 }
 
-// follow counts a connection until and beyond its end.
-func (m *meter) follow(c *quic.Conn) {
+// track counts a connection, also after its end.
+func (m *trafficMeter) track(c *quic.Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.open == nil {
@@ -57,15 +59,15 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		delete(m.open, c)
-		m.ended = m.ended.Add(trafficOf(c))
+		m.closed = m.closed.Add(trafficOf(c))
 	})
 }
 
-// total returns the traffic so far.
-func (m *meter) total() Traffic {
+// total returns the traffic of all connections so far.
+func (m *trafficMeter) total() Traffic {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t := m.ended
+	t := m.closed
 	for c := range m.open {
 		t = t.Add(trafficOf(c))
 	}
@@ -75,5 +77,5 @@
 // Traffic returns the traffic of the connections made by this client.
 func (c *Client) Traffic() Traffic { return c.meter.total() }
 
-// Traffic returns the traffic of the connections taken by this server.
+// Traffic returns the traffic of the connections that the server has accepted.
 func (s *Server) Traffic() Traffic { return s.meter.total() }
