--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -51,8 +51,8 @@
 func (c *devCommand) Run(s *streams, l *schema.LogSettings) error {
 	var e *entry.Entry
 	app := newApp(s, l, standinStopTimeout,
-		fx.Provide(newDevPlatform, newDevFleet, newDevCredentials, c.settings, entry.New),
-		fx.Invoke(hookEntry),
+		fx.Provide(newDevPlatform, newDevBackends, newDevCredentials, c.entrySettings, entry.New),
+		fx.Invoke(addEntryHooks),
 		fx.Populate(&e),
 	)
 	if c.Once {
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	caller := client.Client{URL: httpURL((*e).CallerAddress()), Token: devToken}
-	r, err := caller.Submit(ctx, sampleQuote())
+	r, err := caller.Submit(ctx, sampleJob())
 	if err == nil {
 		err = printAnswer(s.out, r.Answer)
 	}
@@ -120,9 +120,9 @@
 }
 
 // newDevPlatform starts the stand-in with the workers and the sample configuration.
-func newDevPlatform(lc fx.Lifecycle, fleet *standinbackend.Fleet) (*devPlatform, error) {
+func newDevPlatform(lc fx.Lifecycle, backends *standinbackend.Fleet) (*devPlatform, error) {
 	server := standinplatform.NewServer()
-	server.SetVMs(devVMs(fleet))
+	server.SetVMs(devVMs(backends))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -134,9 +134,9 @@
 	return p, entry.SeedConfig(context.Background(), p.url, sampleConfig())
 }
 
-func devVMs(fleet *standinbackend.Fleet) []*schema.Vm {
+func devVMs(backends *standinbackend.Fleet) []*schema.Vm {
 	var vms []*schema.Vm
-	for i, a := range fleet.Addresses {
+	for i, a := range backends.Addresses {
 		vms = append(vms, &schema.Vm{
 			Address:     a.String(),
 			Domain:      devDomain,
@@ -150,7 +150,7 @@
 	return vms
 }
 
-func newDevFleet(lc fx.Lifecycle) (*standinbackend.Fleet, error) {
+func newDevBackends(lc fx.Lifecycle) (*standinbackend.Fleet, error) {
 	f, err := standinbackend.Listen(schema.BackendSettings{
 		Address:     netip.MustParseAddrPort("127.0.0.1:0"),
 		Count:       devWorkers,
@@ -175,7 +175,7 @@
 }
 
 // settings returns the entry's settings.
-func (c *devCommand) settings(p *devPlatform) schema.EntrySettings {
+func (c *devCommand) entrySettings(p *devPlatform) schema.EntrySettings {
 	port := func(offset int) netip.AddrPort {
 		if c.Port == 0 || c.Once {
 			return netip.MustParseAddrPort("127.0.0.1:0")
--- a/internal/cli/entry.go
+++ b/internal/cli/entry.go
@@ -33,7 +33,7 @@
 			},
 			entry.New,
 		),
-		fx.Invoke(hookEntry, func(lc fx.Lifecycle, e *entry.Entry) {
+		fx.Invoke(addEntryHooks, func(lc fx.Lifecycle, e *entry.Entry) {
 			lc.Append(fx.StartHook(func() error { return printReady(s.out, e) }))
 		}),
 	))
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -26,9 +26,9 @@
 const (
 	// storyMargin is how far around the request's own lines those about its workers and
 	// peers are shown.
-	storyMargin = time.Second
+	contextMargin = time.Second
 	// maxLogLine bounds a line; longer ones are skipped and counted.
-	maxLogLine = 1 << 20
+	maxLogLineBytes = 1 << 20
 )
 
 // logLine is one line of a log.
@@ -40,7 +40,7 @@
 
 type logField struct{ key, value string }
 
-func (l *logLine) get(key string) string {
+func (l *logLine) field(key string) string {
 	for _, f := range l.fields {
 		if f.key == key {
 			return f.value
@@ -51,20 +51,20 @@
 
 // Run prints the story.
 func (c *explainCommand) Run(s *streams) error {
-	lines, skipped, err := c.read(s.in)
+	lines, skipped, err := c.readLogs(s.in)
 	if err != nil {
 		return err
 	}
-	own := ownLines(lines, c.ID)
-	if len(own) == 0 {
+	requestLog := requestLines(lines, c.ID)
+	if len(requestLog) == 0 {
 		return errors.Newf("no line names %q among the %d of %d logs: is the log of the daemon that took the request among them, and from that time?", c.ID, len(lines), max(len(c.Logs), 1))
 	}
-	story := append(own, around(lines, own)...)
-	slices.SortStableFunc(story, func(a, b *logLine) int { return a.at.Compare(b.at) })
-	for _, l := range story {
+	shown := append(requestLog, contextLines(lines, requestLog)...)
+	slices.SortStableFunc(shown, func(a, b *logLine) int { return a.at.Compare(b.at) })
+	for _, l := range shown {
 		fmt.Fprintln(s.out, l)
 	}
-	for _, m := range missing(own, lines) {
+	for _, m := range missingLogs(requestLog, lines) {
 		fmt.Fprintln(s.out, "missing:", m)
 	}
 	if skipped > 0 {
@@ -76,7 +76,7 @@
 // String returns a line of the story.
 func (l *logLine) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s %s", l.at.Format("15:04:05.000"), l.source, l.get("event"))
+	fmt.Fprintf(&b, "%s %s %s", l.at.Format("15:04:05.000"), l.source, l.field("event"))
 	for _, f := range l.fields {
 		switch f.key {
 		case "time", "level", "event":
@@ -87,7 +87,7 @@
 	return b.String()
 }
 
-func (c *explainCommand) read(in io.Reader) (lines []*logLine, skipped int, err error) {
+func (c *explainCommand) readLogs(in io.Reader) (lines []*logLine, skipped int, err error) {
 	names := c.Logs
 	if len(names) == 0 {
 		names = []string{"-"}
@@ -102,11 +102,11 @@
 			defer f.Close()
 			r = f
 		}
-		got, bad, err := readLog(r, strings.TrimSuffix(filepath.Base(name), ".log"))
+		read, malformed, err := readLog(r, strings.TrimSuffix(filepath.Base(name), ".log"))
 		if err != nil {
 			return nil, 0, errors.Wrapf(err, "reading %s", name)
 		}
-		lines, skipped = append(lines, got...), skipped+bad
+		lines, skipped = append(lines, read...), skipped+malformed
 	}
 	return lines, skipped, nil
 }
@@ -114,10 +114,10 @@
 // readLog reads one log. What stands before the first field, as collectors of logs put
 // there, names the source.
 func readLog(r io.Reader, name string) (lines []*logLine, skipped int, err error) {
-	scan := bufio.NewScanner(r)
-	scan.Buffer(nil, maxLogLine)
-	for scan.Scan() {
-		prefix, rest, ok := bytes.Cut(scan.Bytes(), []byte("time="))
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(nil, maxLogLineBytes)
+	for scanner.Scan() {
+		prefix, rest, ok := bytes.Cut(scanner.Bytes(), []byte("time="))
 		l := parseLine(append([]byte("time="), rest...))
 		if !ok || l == nil {
 			skipped++
@@ -129,7 +129,7 @@
 		}
 		lines = append(lines, l)
 	}
-	return lines, skipped, scan.Err()
+	return lines, skipped, scanner.Err()
 }
 
 func parseLine(b []byte) *logLine {
@@ -141,7 +141,7 @@
 	for d.ScanKeyval() {
 		l.fields = append(l.fields, logField{string(d.Key()), string(d.Value())})
 	}
-	at, err := time.Parse(logging.TimeFormat, l.get("time"))
+	at, err := time.Parse(logging.TimeFormat, l.field("time"))
 	if err != nil || d.Err() != nil {
 		return nil
 	}
@@ -150,48 +150,48 @@
 }
 
 // ownLines returns the lines that name the job, or the job of the request.
-func ownLines(lines []*logLine, id string) []*logLine {
+func requestLines(lines []*logLine, id string) []*logLine {
 	jobs := map[string]bool{id: true}
 	for _, l := range lines {
-		if l.get("request") == id && l.get("job") != "" {
-			jobs[l.get("job")] = true
+		if l.field("request") == id && l.field("job") != "" {
+			jobs[l.field("job")] = true
 		}
 	}
-	var own []*logLine
+	var list []*logLine
 	for _, l := range lines {
-		if jobs[l.get("job")] || l.get("request") == id {
-			own = append(own, l)
+		if jobs[l.field("job")] || l.field("request") == id {
+			list = append(list, l)
 		}
 	}
-	return own
+	return list
 }
 
 // around returns what the daemons believed of the workers, peers and store meanwhile.
-func around(lines, own []*logLine) []*logLine {
+func contextLines(lines, request []*logLine) []*logLine {
 	workers, sources := make(map[string]bool), make(map[string]bool)
-	from, to := own[0].at, own[0].at
-	for _, l := range own {
+	from, to := request[0].at, request[0].at
+	for _, l := range request {
 		if l.at.Before(from) {
 			from = l.at
 		}
 		if l.at.After(to) {
 			to = l.at
 		}
-		if w := l.get("worker"); w != "" {
+		if w := l.field("worker"); w != "" {
 			workers[w] = true
 		}
 		sources[l.source] = true
 	}
-	from, to = from.Add(-storyMargin), to.Add(storyMargin)
+	from, to = from.Add(-contextMargin), to.Add(contextMargin)
 	var list []*logLine
 	for _, l := range lines {
-		if l.get("job") != "" || l.at.Before(from) || l.at.After(to) {
+		if l.field("job") != "" || l.at.Before(from) || l.at.After(to) {
 			continue
 		}
-		belief := l.get("peer") != "" || strings.HasPrefix(l.get("event"), "store_") || strings.HasPrefix(l.get("event"), "configuration_") ||
-			strings.HasPrefix(l.get("event"), "domain_") ||
-			l.get("event") == "started" || l.get("event") == "stopping" || l.get("event") == "suspended"
-		if workers[l.get("worker")] && l.get("worker") != "" || belief && sources[l.source] {
+		isDaemonEvent := l.field("peer") != "" || strings.HasPrefix(l.field("event"), "store_") || strings.HasPrefix(l.field("event"), "configuration_") ||
+			strings.HasPrefix(l.field("event"), "domain_") ||
+			l.field("event") == "started" || l.field("event") == "stopping" || l.field("event") == "suspended"
+		if workers[l.field("worker")] && l.field("worker") != "" || isDaemonEvent && sources[l.source] {
 			list = append(list, l)
 		}
 	}
@@ -199,14 +199,14 @@
 }
 
 // missing says which parts of the story no log tells.
-func missing(own, lines []*logLine) []string {
-	events, heard := make(map[string]bool), make(map[string]bool)
-	for _, l := range own {
-		events[l.get("event")] = true
+func missingLogs(request, lines []*logLine) []string {
+	events, started := make(map[string]bool), make(map[string]bool)
+	for _, l := range request {
+		events[l.field("event")] = true
 	}
 	for _, l := range lines {
-		if l.get("event") == "started" {
-			heard[l.get("address")] = true
+		if l.field("event") == "started" {
+			started[l.field("address")] = true
 		}
 	}
 	var list []string
@@ -216,11 +216,11 @@
 	if !events["job_answered"] {
 		list = append(list, "the answer: the daemon ended before it, the caller left, or its log is cut")
 	}
-	asked := make(map[string]bool)
-	for _, l := range own {
-		to, _, _ := strings.Cut(strings.TrimPrefix(l.get("detail"), "to="), " ")
-		if l.get("event") == "task_offered" && !heard[to] && !asked[to] {
-			asked[to] = true
+	listed := make(map[string]bool)
+	for _, l := range request {
+		to, _, _ := strings.Cut(strings.TrimPrefix(l.field("detail"), "to="), " ")
+		if l.field("event") == "task_offered" && !started[to] && !listed[to] {
+			listed[to] = true
 			list = append(list, "the log of the daemon at "+to+", which was offered a task, or its start")
 		}
 	}
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -59,9 +59,9 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := untilSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
-	r, err := load.RemoteRun(c.LoadSettings, p, terminal(s.err)).Do(ctx)
+	r, err := load.RemoteRun(c.LoadSettings, p, terminalOrNil(s.err)).Do(ctx)
 	if err != nil {
 		return err
 	}
@@ -98,10 +98,10 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := untilSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
 	var reports []schema.LoadReport
-	err = load.RunExperiment(ctx, c.ExperimentSettings, p, terminal(s.err), func(r schema.LoadReport) error {
+	err = load.RunExperiment(ctx, c.ExperimentSettings, p, terminalOrNil(s.err), func(r schema.LoadReport) error {
 		reports = append(reports, r)
 		if c.Json {
 			return printJSON(s.out, r)
@@ -137,12 +137,12 @@
 }
 
 // untilSignal returns a context that ends with SIGINT or SIGTERM.
-func untilSignal() (context.Context, context.CancelFunc) {
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
 // terminal returns w for progress if it is a terminal, else nil.
-func terminal(w io.Writer) io.Writer {
+func terminalOrNil(w io.Writer) io.Writer {
 	if f, ok := w.(*os.File); ok && isatty.IsTerminal(f.Fd()) {
 		return w
 	}
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -32,12 +32,12 @@
 	// becomes eager; the rest is for what the Go heap doesn't count.
 	heapShare = 0.5
 	// frontHeaderTimeout and frontIdleTimeout bound what a caller's connection may hold.
-	frontHeaderTimeout = 3 * time.Second
-	frontIdleTimeout   = 60 * time.Second
+	requestHeaderTimeout  = 3 * time.Second
+	connectionIdleTimeout = 60 * time.Second
 	// logCloseTimeout bounds the writing of the last lines.
-	logCloseTimeout = 100 * time.Millisecond
+	logFlushTimeout = 100 * time.Millisecond
 	// closeTimeout bounds the wait for answers under way to be written at a stop.
-	closeTimeout = 300 * time.Millisecond
+	serverStopTimeout = 300 * time.Millisecond
 	// nodeStopMargin is added to the daemon's own limits for a planned stop.
 	nodeStopMargin = 2 * time.Second
 )
@@ -55,13 +55,13 @@
 	if settings.MemoryLimit > 0 {
 		debug.SetMemoryLimit(int64(float64(settings.MemoryLimit) * heapShare))
 	}
-	queue := logging.NewAsyncWriter(s.out) // the platform collects the standard output
-	defer queue.Close(logCloseTimeout)
-	s = &streams{in: s.in, out: s.out, err: queue}
+	logWriter := logging.NewAsyncWriter(s.out) // the platform collects the standard output
+	defer logWriter.Close(logFlushTimeout)
+	s = &streams{in: s.in, out: s.out, err: logWriter}
 	return runApp(newApp(s, l, c.StopDelay+c.StopTimeout+nodeStopMargin,
-		fx.Supply(settings, c.NodeSettings, hup, queue),
+		fx.Supply(settings, c.NodeSettings, hup, logWriter),
 		fx.Provide(newNode, newNodeServers),
-		fx.Invoke(hookNode, reloadSettings),
+		fx.Invoke(addNodeHooks, reloadSettings),
 	))
 }
 
@@ -70,26 +70,26 @@
 // and talks to is fixed at its start.
 func reloadSettings(lc fx.Lifecycle, c schema.NodeSettings, hup chan os.Signal, n *node.Node, log *logrus.Logger) {
 	ctx, cancel := context.WithCancel(context.Background())
-	changed := func() time.Time {
+	modTime := func() time.Time {
 		info, err := os.Stat(c.Settings)
 		if err != nil {
 			return time.Time{}
 		}
 		return info.ModTime()
 	}
-	watch := func() {
-		last := changed()
+	pollAndReload := func() {
+		lastModTime := modTime()
 		for ctx.Err() == nil {
 			select {
 			case <-ctx.Done():
 				return
 			case <-hup:
-			case <-time.After(settingsCheck):
-				if now := changed(); now.Equal(last) {
+			case <-time.After(settingsPollInterval):
+				if current := modTime(); current.Equal(lastModTime) {
 					continue
 				}
 			}
-			last = changed()
+			lastModTime = modTime()
 			s, err := platform.ReadSettings(c.Settings)
 			if err != nil {
 				log.WithFields(logrus.Fields{"event": "settings_invalid", "error": err}).Error("the settings in force stay")
@@ -100,15 +100,15 @@
 		}
 	}
 	lc.Append(fx.Hook{
-		OnStart: func(context.Context) error { go watch(); return nil },
+		OnStart: func(context.Context) error { go pollAndReload(); return nil },
 		OnStop:  func(context.Context) error { cancel(); return nil },
 	})
 }
 
 // settingsCheck is the time between two looks at the settings file.
-const settingsCheck = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
-func newNode(s platform.Settings, c schema.NodeSettings, log *logrus.Logger, q *logging.AsyncWriter) (*node.Node, error) {
+func newNode(s platform.Settings, c schema.NodeSettings, log *logrus.Logger, logWriter *logging.AsyncWriter) (*node.Node, error) {
 	n, err := node.New(node.Config{
 		Name: s.Name, Domain: s.Domain, Cores: s.Cores, LinkMbps: s.LinkMbps, FirstStart: s.Bootstrap, Address: s.PeerAddress, Listen: c.PeerListen, Seeds: s.SeedPeers, FeedPort: s.RelayAddress.Port(),
 		Lease: min(c.Lease, s.MaxWorkerLease), MaxLease: s.MaxWorkerLease, StopWithin: s.WorkerStopTimeout, EntryTTL: max(c.EntryTtl, s.MinStoreLease),
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n.PublishGauge("log_lines_left_out", func() float64 { return float64(q.DroppedLines()) })
+	n.PublishGauge("log_lines_left_out", func() float64 { return float64(logWriter.DroppedLines()) })
 	return n, nil
 }
 
@@ -129,8 +129,8 @@
 
 func newNodeServers(s platform.Settings, c schema.NodeSettings, n *node.Node) *nodeServers {
 	gin.SetMode(gin.ReleaseMode)
-	front := gin.New()
-	front.NoRoute(func(c *gin.Context) {
+	engine := gin.New()
+	engine.NoRoute(func(c *gin.Context) {
 		// gin has set 404 for a path without a route; the handler decides.
 		c.Status(http.StatusOK)
 		if n.Stopping() {
@@ -138,19 +138,19 @@
 		}
 		platform.NewCallerHandler(n).ServeHTTP(c.Writer, c.Request)
 	})
-	server := func(h http.Handler) *httpstop.Server {
-		return httpstop.New(&http.Server{Handler: h, ReadHeaderTimeout: frontHeaderTimeout, IdleTimeout: frontIdleTimeout})
+	newServer := func(h http.Handler) *httpstop.Server {
+		return httpstop.New(&http.Server{Handler: h, ReadHeaderTimeout: requestHeaderTimeout, IdleTimeout: connectionIdleTimeout})
 	}
 	servers := &nodeServers{
-		servers:   []*httpstop.Server{server(front), server(platform.NewReadinessHandler(n.Ready))},
+		servers:   []*httpstop.Server{newServer(engine), newServer(platform.NewReadinessHandler(n.Ready))},
 		addresses: []netip.AddrPort{s.CallerAddress, s.ReadinessAddress},
 	}
 	if s.RelayAddress.IsValid() {
-		servers.servers = append(servers.servers, server(n.FeedHandler()))
+		servers.servers = append(servers.servers, newServer(n.FeedHandler()))
 		servers.addresses = append(servers.addresses, s.RelayAddress)
 	}
 	if c.MetricsPort != 0 {
-		servers.servers = append(servers.servers, server(metricsHandler(n)))
+		servers.servers = append(servers.servers, newServer(metricsHandler(n)))
 		servers.addresses = append(servers.addresses, netip.AddrPortFrom(s.CallerAddress.Addr(), c.MetricsPort))
 	}
 	return servers
@@ -192,14 +192,14 @@
 
 // hookNode starts the daemon before its servers. At a stop the daemon serves on until
 // the balancer has noticed and its jobs are answered, then the servers end.
-func hookNode(lc fx.Lifecycle, n *node.Node, servers *nodeServers) {
+func addNodeHooks(lc fx.Lifecycle, n *node.Node, servers *nodeServers) {
 	lc.Append(fx.Hook{OnStart: n.Start, OnStop: func(ctx context.Context) error {
 		n.Close()
 		return nil
 	}})
 	lc.Append(fx.Hook{OnStart: servers.start, OnStop: func(ctx context.Context) error {
 		n.Drain(ctx)
-		ctx, cancel := context.WithTimeout(ctx, closeTimeout)
+		ctx, cancel := context.WithTimeout(ctx, serverStopTimeout)
 		defer cancel()
 		return servers.stop(ctx)
 	}})
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -64,7 +64,7 @@
 		return errors.Wrap(err, "reading the entry's answer")
 	}
 	if resp.StatusCode != http.StatusOK {
-		return outcomeError(resp.Status, b)
+		return parseOutcomeError(resp.Status, b)
 	}
 	if raw, ok := out.(*[]byte); ok {
 		*raw = b
@@ -74,21 +74,21 @@
 }
 
 // notApplied is a plan that was not applied, as an error.
-type notApplied struct {
+type notAppliedError struct {
 	schema.Outcome
 }
 
 // Error implements error.
-func (n *notApplied) Error() string {
+func (n *notAppliedError) Error() string {
 	text := n.Outcome.Outcome + " (" + n.Reason + "): " + n.Message
 	for _, h := range n.Moved {
-		text += "\n  " + historyLine(h)
+		text += "\n  " + formatHistoryEntry(h)
 	}
 	return text
 }
 
-func outcomeError(status string, body []byte) error {
-	var n notApplied
+func parseOutcomeError(status string, body []byte) error {
+	var n notAppliedError
 	if err := json.Unmarshal(body, &n.Outcome); err != nil || n.Outcome.Outcome == "" {
 		return errors.Newf("the entry answered %s: %s", status, body)
 	}
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -14,24 +14,24 @@
 )
 
 // maxShownPlan is the longest plan that is printed as an argument of confirm.
-const maxShownPlan = 4096
+const maxPlanArgumentBytes = 4096
 
 // planCommand asks what an intent would change; nothing changes.
 type planCommand struct {
 	operatorFlags
 	Force bool `help:"Go on although a kind or the whole fleet is left with nowhere to run."`
 
-	Drain     drainCommands   `cmd:"" help:"Stop new work on a worker or a rack."`
-	Undrain   undrainCommands `cmd:"" help:"Resume work on a drained worker or rack."`
-	Retire    domainIntent    `cmd:"" help:"Stop new work in a failure domain."`
-	Reinstate reinstateIntent `cmd:"" help:"Take back a retired failure domain."`
-	Hold      holdIntent      `cmd:"" help:"Refuse new jobs of a kind."`
-	Resume    resumeIntent    `cmd:"" help:"Accept new jobs of a held kind again."`
-	Limits    limitsIntent    `cmd:"" help:"Change limits of every request."`
-	Kind      kindCommands    `cmd:"" help:"Change or remove a kind."`
-	Team      teamCommands    `cmd:"" help:"Change or remove a team."`
-	Init      initIntent      `cmd:"" help:"Write the first document from a file."`
-	Restore   restoreIntent   `cmd:"" help:"Write the document in force back to a platform that came back older."`
+	Drain     drainCommands         `cmd:"" help:"Stop new work on a worker or a rack."`
+	Undrain   undrainCommands       `cmd:"" help:"Resume work on a drained worker or rack."`
+	Retire    retireDomainIntent    `cmd:"" help:"Stop new work in a failure domain."`
+	Reinstate reinstateDomainIntent `cmd:"" help:"Take back a retired failure domain."`
+	Hold      holdKindIntent        `cmd:"" help:"Refuse new jobs of a kind."`
+	Resume    resumeKindIntent      `cmd:"" help:"Accept new jobs of a held kind again."`
+	Limits    setLimitsIntent       `cmd:"" help:"Change limits of every request."`
+	Kind      kindCommands          `cmd:"" help:"Change or remove a kind."`
+	Team      teamCommands          `cmd:"" help:"Change or remove a team."`
+	Init      initIntent            `cmd:"" help:"Write the first document from a file."`
+	Restore   restoreIntent         `cmd:"" help:"Write the document in force back to a platform that came back older."`
 }
 
 type drainCommands struct {
@@ -54,46 +54,46 @@
 	Remove removeTeamIntent `cmd:"" help:"Remove a team."`
 }
 
-type worker struct {
+type workerArg struct {
 	Address string `arg:"" help:"The worker's address (IP:port) as in the VM list."`
 }
 
-type rack struct {
+type rackArg struct {
 	Rack string `arg:"" help:"The rack as domain/rack."`
 }
 
-type domain struct {
+type domainArg struct {
 	Domain string `arg:"" help:"The failure domain."`
 }
 
-type named struct {
+type nameArg struct {
 	Name string `arg:"" help:"The name."`
 }
 
-type settings struct {
+type settingsArg struct {
 	Settings []string `arg:"" help:"Fields to set as field=value; a wrong field gets the list of fields."`
 }
 
 type (
-	drainWorkerIntent   struct{ worker }
-	undrainWorkerIntent struct{ worker }
-	drainRackIntent     struct{ rack }
-	undrainRackIntent   struct{ rack }
-	domainIntent        struct{ domain }
-	reinstateIntent     struct{ domain }
-	limitsIntent        struct{ settings }
-	setKindIntent       struct {
-		named
-		settings
+	drainWorkerIntent     struct{ workerArg }
+	undrainWorkerIntent   struct{ workerArg }
+	drainRackIntent       struct{ rackArg }
+	undrainRackIntent     struct{ rackArg }
+	retireDomainIntent    struct{ domainArg }
+	reinstateDomainIntent struct{ domainArg }
+	setLimitsIntent       struct{ settingsArg }
+	setKindIntent         struct {
+		nameArg
+		settingsArg
 	}
-	removeKindIntent struct{ named }
-	holdIntent       struct{ named }
-	resumeIntent     struct{ named }
+	removeKindIntent struct{ nameArg }
+	holdKindIntent   struct{ nameArg }
+	resumeKindIntent struct{ nameArg }
 	setTeamIntent    struct {
-		named
-		settings
+		nameArg
+		settingsArg
 	}
-	removeTeamIntent struct{ named }
+	removeTeamIntent struct{ nameArg }
 	restoreIntent    struct{}
 	initIntent       struct {
 		File string `arg:"" type:"existingfile" help:"File with the document in JSON, as export prints it."`
@@ -102,72 +102,72 @@
 
 // Run plans draining a worker.
 func (i *drainWorkerIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.DrainWorker), Target: i.Address})
+	return p.requestPlan(s, schema.Intent{Action: string(config.DrainWorker), Target: i.Address})
 }
 
 // Run plans undraining a worker.
 func (i *undrainWorkerIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.UndrainWorker), Target: i.Address})
+	return p.requestPlan(s, schema.Intent{Action: string(config.UndrainWorker), Target: i.Address})
 }
 
 // Run plans draining a rack.
 func (i *drainRackIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.DrainRack), Target: i.Rack})
+	return p.requestPlan(s, schema.Intent{Action: string(config.DrainRack), Target: i.Rack})
 }
 
 // Run plans undraining a rack.
 func (i *undrainRackIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.UndrainRack), Target: i.Rack})
+	return p.requestPlan(s, schema.Intent{Action: string(config.UndrainRack), Target: i.Rack})
 }
 
 // Run plans retiring a failure domain.
-func (i *domainIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.RetireDomain), Target: i.Domain})
+func (i *retireDomainIntent) Run(p *planCommand, s *streams) error {
+	return p.requestPlan(s, schema.Intent{Action: string(config.RetireDomain), Target: i.Domain})
 }
 
 // Run plans reinstating a failure domain.
-func (i *reinstateIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.ReinstateDomain), Target: i.Domain})
+func (i *reinstateDomainIntent) Run(p *planCommand, s *streams) error {
+	return p.requestPlan(s, schema.Intent{Action: string(config.ReinstateDomain), Target: i.Domain})
 }
 
 // Run plans a change of limits.
-func (i *limitsIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.SetLimits), Settings: i.Settings})
+func (i *setLimitsIntent) Run(p *planCommand, s *streams) error {
+	return p.requestPlan(s, schema.Intent{Action: string(config.SetLimits), Settings: i.Settings})
 }
 
 // Run plans a change of a kind.
 func (i *setKindIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.SetKind), Target: i.Name, Settings: i.Settings})
+	return p.requestPlan(s, schema.Intent{Action: string(config.SetKind), Target: i.Name, Settings: i.Settings})
 }
 
 // Run plans removing a kind.
 func (i *removeKindIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.RemoveKind), Target: i.Name})
+	return p.requestPlan(s, schema.Intent{Action: string(config.RemoveKind), Target: i.Name})
 }
 
 // Run plans holding a kind.
-func (i *holdIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.HoldKind), Target: i.Name})
+func (i *holdKindIntent) Run(p *planCommand, s *streams) error {
+	return p.requestPlan(s, schema.Intent{Action: string(config.HoldKind), Target: i.Name})
 }
 
 // Run plans resuming a kind.
-func (i *resumeIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.ResumeKind), Target: i.Name})
+func (i *resumeKindIntent) Run(p *planCommand, s *streams) error {
+	return p.requestPlan(s, schema.Intent{Action: string(config.ResumeKind), Target: i.Name})
 }
 
 // Run plans a change of a team.
 func (i *setTeamIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.SetTeam), Target: i.Name, Settings: i.Settings})
+	return p.requestPlan(s, schema.Intent{Action: string(config.SetTeam), Target: i.Name, Settings: i.Settings})
 }
 
 // Run plans removing a team.
 func (i *removeTeamIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.RemoveTeam), Target: i.Name})
+	return p.requestPlan(s, schema.Intent{Action: string(config.RemoveTeam), Target: i.Name})
 }
 
 // Run plans a restore.
 func (i *restoreIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.Restore)})
+	return p.requestPlan(s, schema.Intent{Action: string(config.Restore)})
 }
 
 // Run plans the first document.
@@ -176,11 +176,11 @@
 	if err != nil {
 		return err
 	}
-	return p.send(s, schema.Intent{Action: string(config.Init), Document: string(b)})
+	return p.requestPlan(s, schema.Intent{Action: string(config.Init), Document: string(b)})
 }
 
 // send asks for the plan and prints it.
-func (p *planCommand) send(s *streams, i schema.Intent) error {
+func (p *planCommand) requestPlan(s *streams, i schema.Intent) error {
 	i.Force = p.Force
 	var plan schema.Plan
 	if err := p.call(http.MethodPost, "/v1/plans", i, &plan); err != nil {
@@ -195,7 +195,7 @@
 	if plan.Refused != "" {
 		return errors.Newf("a confirmation would be refused: %s", plan.Refused)
 	}
-	return printConfirm(s.out, plan)
+	return printConfirmCommand(s.out, plan)
 }
 
 // confirmCommand carries out a plan.
@@ -215,7 +215,7 @@
 
 // Run confirms the plan.
 func (c *confirmCommand) Run(s *streams) error {
-	plan, err := c.read(s.in)
+	plan, err := c.readConfirmation(s.in)
 	if err != nil {
 		return err
 	}
@@ -230,10 +230,10 @@
 	return err
 }
 
-func (c *confirmCommand) read(in io.Reader) (schema.Confirmation, error) {
+func (c *confirmCommand) readConfirmation(in io.Reader) (schema.Confirmation, error) {
 	var plan schema.Plan
 	if c.Plan != "" {
-		return decodePlan(c.Plan)
+		return decodeConfirmation(c.Plan)
 	}
 	if c.File != "-" {
 		f, err := os.Open(c.File)
@@ -246,21 +246,21 @@
 	if err := json.NewDecoder(in).Decode(&plan); err != nil {
 		return schema.Confirmation{}, errors.Wrapf(err, "%s holds no plan in JSON", c.File)
 	}
-	return confirmation(plan), nil
+	return confirmationOf(plan), nil
 }
 
 // confirmation returns what a confirmation needs of a plan.
-func confirmation(p schema.Plan) schema.Confirmation {
+func confirmationOf(p schema.Plan) schema.Confirmation {
 	return schema.Confirmation{Id: p.Id, BaseRevision: p.BaseRevision, Nonce: p.Nonce, Intent: p.Intent}
 }
 
 // encodePlan packs a plan into one argument.
-func encodePlan(p schema.Plan) (string, error) {
-	b, err := json.Marshal(confirmation(p))
+func encodeConfirmation(p schema.Plan) (string, error) {
+	b, err := json.Marshal(confirmationOf(p))
 	return base64.RawURLEncoding.EncodeToString(b), err
 }
 
-func decodePlan(arg string) (schema.Confirmation, error) {
+func decodeConfirmation(arg string) (schema.Confirmation, error) {
 	var c schema.Confirmation
 	b, err := base64.RawURLEncoding.DecodeString(arg)
 	if err == nil {
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -51,7 +51,7 @@
 }
 
 // hookEntry starts and stops an entry with the application.
-func hookEntry(lc fx.Lifecycle, e *entry.Entry) {
+func addEntryHooks(lc fx.Lifecycle, e *entry.Entry) {
 	lc.Append(fx.Hook{OnStart: e.Start, OnStop: e.Stop})
 }
 
--- a/internal/cli/sample.go
+++ b/internal/cli/sample.go
@@ -27,7 +27,7 @@
 }
 
 // sampleQuote returns the job of dev --once: one loft quote of several tasks.
-func sampleQuote() schema.Job {
+func sampleJob() schema.Job {
 	return schema.Job{
 		Kind: "loft-quote",
 		Tasks: []schema.Task{
--- a/internal/cli/table.go
+++ b/internal/cli/table.go
@@ -11,11 +11,11 @@
 )
 
 // table returns a writer that aligns columns; Flush has to be called.
-func table(w io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(w, 0, 0, 2, ' ', 0) }
+func newTable(w io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(w, 0, 0, 2, ' ', 0) }
 
 // printPlan prints what would change and what follows.
 func printPlan(w io.Writer, p schema.Plan) error {
-	t := table(w)
+	t := newTable(w)
 	fmt.Fprintf(t, "plan %s: revision %d to %d\n\n", p.Id, p.BaseRevision, p.Revision)
 	fmt.Fprintln(t, "FIELD\tBEFORE\tAFTER")
 	for _, c := range p.Changes {
@@ -23,19 +23,19 @@
 	}
 	fmt.Fprintln(t, "\nFAILURE DOMAIN\tWORKERS\tSLOTS\tENTRIES")
 	for _, d := range p.Effects.Domains {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", d.Domain, change(d.WorkersBefore, d.WorkersAfter), change(d.SlotsBefore, d.SlotsAfter), change(d.EntriesBefore, d.EntriesAfter))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", d.Domain, formatChange(d.WorkersBefore, d.WorkersAfter), formatChange(d.SlotsBefore, d.SlotsAfter), formatChange(d.EntriesBefore, d.EntriesAfter))
 	}
-	printConsequences(t, p.Effects)
+	printEffects(t, p.Effects)
 	return t.Flush()
 }
 
-func printConsequences(w io.Writer, e schema.Effects) {
+func printEffects(w io.Writer, e schema.Effects) {
 	fmt.Fprintf(w, "\nwork in flight: %d tasks run (%d on workers that get no new work; they are finished), %d wait\n", e.Running, e.RunningThere, e.Waiting)
 	if len(e.KindsWithoutWorkers) > 0 {
 		fmt.Fprintf(w, "kinds left with nowhere to run: %s\n", strings.Join(e.KindsWithoutWorkers, ", "))
 	}
 	for _, t := range e.SqueezedTeams {
-		fmt.Fprintf(w, "team squeezed: %s starts %d tasks a second, quota %s to %s: %s\n", t.Team, t.StartsPerSecondNow, quota(t.QuotaBefore), quota(t.QuotaAfter), t.Why)
+		fmt.Fprintf(w, "team squeezed: %s starts %d tasks a second, quota %s to %s: %s\n", t.Team, t.StartsPerSecondNow, formatQuota(t.QuotaBefore), formatQuota(t.QuotaAfter), t.Why)
 	}
 	for _, warning := range e.Warnings {
 		fmt.Fprintf(w, "warning: %s\n", warning)
@@ -43,12 +43,12 @@
 }
 
 // printConfirm prints how to confirm a plan.
-func printConfirm(w io.Writer, p schema.Plan) error {
-	arg, err := encodePlan(p)
+func printConfirmCommand(w io.Writer, p schema.Plan) error {
+	arg, err := encodeConfirmation(p)
 	if err != nil {
 		return err
 	}
-	if len(arg) > maxShownPlan {
+	if len(arg) > maxPlanArgumentBytes {
 		_, err = fmt.Fprintln(w, "\nnothing has changed yet; the plan is too long for the command line: plan with --json > FILE and confirm with --file FILE")
 		return err
 	}
@@ -63,14 +63,14 @@
 	return s
 }
 
-func change(before, after int64) string {
+func formatChange(before, after int64) string {
 	if before == after {
 		return fmt.Sprint(before)
 	}
 	return fmt.Sprintf("%d -> %d", before, after)
 }
 
-func quota(n int64) string {
+func formatQuota(n int64) string {
 	if n == 0 {
 		return "none"
 	}
@@ -79,12 +79,12 @@
 
 // printStatus prints the entries, the one line of each with its alarms below.
 func printStatus(w io.Writer, f schema.FleetStatus) error {
-	t := table(w)
+	t := newTable(w)
 	fmt.Fprintf(t, "revision %d in force on %d of %d entries; platform holds %d\n\n",
-		f.Revision, current(f), len(f.Entries)+len(f.Unreachable), f.PlatformRevision)
+		f.Revision, countCurrent(f), len(f.Entries)+len(f.Unreachable), f.PlatformRevision)
 	fmt.Fprintln(t, "ENTRY\tFAILURE DOMAIN\tREVISION\tRUNNING\tWAITING\tSLOTS\tREADY")
 	for _, e := range f.Entries {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", e.Address, e.Domain, e.ConfigRevision, e.RunningTasks, e.WaitingTasks, e.Slots, ready(e))
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", e.Address, e.Domain, e.ConfigRevision, e.RunningTasks, e.WaitingTasks, e.Slots, formatReady(e))
 	}
 	for _, a := range f.Unreachable {
 		fmt.Fprintf(t, "%s\tnot reached\n", a)
@@ -101,7 +101,7 @@
 }
 
 // current counts the entries that have the highest revision in force.
-func current(f schema.FleetStatus) int {
+func countCurrent(f schema.FleetStatus) int {
 	n := 0
 	for _, e := range f.Entries {
 		if e.ConfigRevision == f.Revision {
@@ -111,7 +111,7 @@
 	return n
 }
 
-func ready(e schema.EntryStatus) string {
+func formatReady(e schema.EntryStatus) string {
 	if e.Ready {
 		return "yes"
 	}
@@ -122,14 +122,14 @@
 func printHistory(w io.Writer, h schema.History) error {
 	fmt.Fprintf(w, "revision %d in force\n", h.Revision)
 	for _, p := range h.Plans {
-		if _, err := fmt.Fprintln(w, historyLine(p)); err != nil {
+		if _, err := fmt.Fprintln(w, formatHistoryEntry(p)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func historyLine(h schema.HistoryEntry) string {
+func formatHistoryEntry(h schema.HistoryEntry) string {
 	at := time.UnixMilli(h.ConfirmedUnixMs).UTC().Format(time.RFC3339)
 	return fmt.Sprintf("revision %d  %s  %s  %s  (plan %s)", h.Revision, at, h.Operator, h.Intent, h.Plan)
 }
--- a/internal/cli/values.go
+++ b/internal/cli/values.go
@@ -13,15 +13,15 @@
 // valueMappers read the values whose own errors don't name what is accepted.
 func valueMappers() []kong.Option {
 	return []kong.Option{
-		kong.TypeMapper(reflect.TypeFor[netip.AddrPort](), kong.MapperFunc(mapAddress)),
-		kong.TypeMapper(reflect.TypeFor[time.Duration](), kong.MapperFunc(mapDuration)),
+		kong.TypeMapper(reflect.TypeFor[netip.AddrPort](), kong.MapperFunc(decodeAddress)),
+		kong.TypeMapper(reflect.TypeFor[time.Duration](), kong.MapperFunc(decodeDuration)),
 	}
 }
 
 // mapAddress reads an IP:port. Names are refused: processes are known to each other
 // by IP numbers, and a resolver is one more thing that fails.
-func mapAddress(c *kong.DecodeContext, target reflect.Value) error {
-	text, err := popText(c, "IP:port")
+func decodeAddress(c *kong.DecodeContext, target reflect.Value) error {
+	text, err := popString(c, "IP:port")
 	if err != nil {
 		return err
 	}
@@ -34,8 +34,8 @@
 }
 
 // mapDuration reads a duration.
-func mapDuration(c *kong.DecodeContext, target reflect.Value) error {
-	text, err := popText(c, "duration")
+func decodeDuration(c *kong.DecodeContext, target reflect.Value) error {
+	text, err := popString(c, "duration")
 	if err != nil {
 		return err
 	}
@@ -47,9 +47,9 @@
 	return nil
 }
 
-func popText(c *kong.DecodeContext, what string) (string, error) {
+func popString(c *kong.DecodeContext, typeName string) (string, error) {
 	var text string
-	err := c.Scan.PopValueInto(what, &text)
+	err := c.Scan.PopValueInto(typeName, &text)
 	return text, err
 }
 
--- a/internal/load/counters.go
+++ b/internal/load/counters.go
@@ -24,7 +24,7 @@
 	metricMessages = "lavendercleat_peer_messages_total"
 	metricBorrows  = "lavendercleat_borrows_total"
 	// borrowNothing labels requests for slots that brought nothing.
-	borrowNothing = "nothing"
+	borrowEmpty = "nothing"
 	// retryRefused and retryLeaving label retries after a worker's refusal, which the
 	// backend servers count as well.
 	retryRefused = "worker_refused"
@@ -36,21 +36,21 @@
 	retries  map[string]int64
 	messages map[string]int64
 	borrows  map[string]int64
-	witness  standin.RunRecord
+	runs     standin.RunRecord
 }
 
 // source reads counters.
-type source interface {
-	read(ctx context.Context) (counters, error)
+type counterSource interface {
+	readCounters(ctx context.Context) (counters, error)
 }
 
 // remote reads counters over HTTP.
-type remote struct {
+type httpCounters struct {
 	metrics  []string
 	backends []netip.AddrPort
 }
 
-func (r remote) read(ctx context.Context) (counters, error) {
+func (r httpCounters) readCounters(ctx context.Context) (counters, error) {
 	c := newCounters()
 	for _, u := range r.metrics {
 		if err := c.addMetrics(ctx, u); err != nil {
@@ -66,7 +66,7 @@
 		if err := json.Unmarshal(body, &w); err != nil {
 			return c, errors.Wrapf(err, "asking backend server %s", b)
 		}
-		c.addWitness(w)
+		c.addRunRecord(w)
 	}
 	return c, nil
 }
@@ -107,14 +107,14 @@
 	if err != nil {
 		return errors.Wrap(err, "metrics")
 	}
-	addLabeled(c.retries, families[metricRetries])
-	addLabeled(c.messages, families[metricMessages])
-	addLabeled(c.borrows, families[metricBorrows])
+	addByLabel(c.retries, families[metricRetries])
+	addByLabel(c.messages, families[metricMessages])
+	addByLabel(c.borrows, families[metricBorrows])
 	return nil
 }
 
 // addLabeled adds a counter with one label.
-func addLabeled(m map[string]int64, f *dto.MetricFamily) {
+func addByLabel(m map[string]int64, f *dto.MetricFamily) {
 	for _, x := range f.GetMetric() {
 		if len(x.GetLabel()) == 1 {
 			m[x.GetLabel()[0].GetValue()] += int64(x.GetUntyped().GetValue())
@@ -122,32 +122,32 @@
 	}
 }
 
-func (c *counters) addWitness(w standin.RunRecord) {
-	c.witness.Starts += w.Starts
-	c.witness.Duplicates += w.Duplicates
-	c.witness.Refused += w.Refused
-	c.witness.Aborted += w.Aborted
-	c.witness.BusyMS += w.BusyMS
+func (c *counters) addRunRecord(w standin.RunRecord) {
+	c.runs.Starts += w.Starts
+	c.runs.Duplicates += w.Duplicates
+	c.runs.Refused += w.Refused
+	c.runs.Aborted += w.Aborted
+	c.runs.BusyMS += w.BusyMS
 }
 
 // since returns what was added since before.
 func (c counters) since(before counters) counters {
-	d := newCounters()
-	d.retries = difference(c.retries, before.retries)
-	d.messages = difference(c.messages, before.messages)
-	d.borrows = difference(c.borrows, before.borrows)
-	d.witness = c.witness
-	d.witness.Starts -= before.witness.Starts
-	d.witness.Duplicates -= before.witness.Duplicates
-	d.witness.Refused -= before.witness.Refused
-	d.witness.Aborted -= before.witness.Aborted
-	d.witness.BusyMS -= before.witness.BusyMS
-	return d
+	diff := newCounters()
+	diff.retries = subtractCounts(c.retries, before.retries)
+	diff.messages = subtractCounts(c.messages, before.messages)
+	diff.borrows = subtractCounts(c.borrows, before.borrows)
+	diff.runs = c.runs
+	diff.runs.Starts -= before.runs.Starts
+	diff.runs.Duplicates -= before.runs.Duplicates
+	diff.runs.Refused -= before.runs.Refused
+	diff.runs.Aborted -= before.runs.Aborted
+	diff.runs.BusyMS -= before.runs.BusyMS
+	return diff
 }
 
 // difference subtracts; an entry that died takes its counters with it, so a negative
 // difference counts as none.
-func difference(after, before map[string]int64) map[string]int64 {
+func subtractCounts(after, before map[string]int64) map[string]int64 {
 	d := maps.Clone(after)
 	for k, n := range before {
 		d[k] = max(d[k]-n, 0)
@@ -159,13 +159,13 @@
 // waste returns the messages and the work without use.
 func (c counters) waste(usefulSeconds float64) schema.LoadWaste {
 	w := schema.LoadWaste{
-		Starts:           c.witness.Starts,
-		Doubled:          c.witness.Duplicates,
-		RefusedByWorkers: c.witness.Refused,
-		Retries:          counts(c.retries),
-		EmptyBorrows:     c.borrows[borrowNothing],
-		PeerMessages:     counts(c.messages),
-		BusySeconds:      float64(c.witness.BusyMS) / 1000,
+		Starts:           c.runs.Starts,
+		Doubled:          c.runs.Duplicates,
+		RefusedByWorkers: c.runs.Refused,
+		Retries:          sortedCounts(c.retries),
+		EmptyBorrows:     c.borrows[borrowEmpty],
+		PeerMessages:     sortedCounts(c.messages),
+		BusySeconds:      float64(c.runs.BusyMS) / 1000,
 	}
 	// A refusal is seen by both ends; it is one wasted exchange.
 	wasted := max(w.RefusedByWorkers, c.retries[retryRefused]+c.retries[retryLeaving])
--- a/internal/load/driver.go
+++ b/internal/load/driver.go
@@ -19,21 +19,21 @@
 	// balancer would do.
 	unreachablePause = time.Second
 	// answerSlack is the time beyond its deadline for which a job's answer is awaited.
-	answerSlack = 10 * time.Second
+	answerGrace = 10 * time.Second
 	// defaultWait is awaited when a job leaves the deadline to its kind.
-	defaultWait = 2 * time.Minute
+	defaultAnswerTimeout = 2 * time.Minute
 )
 
 // driver sends jobs and records how they end.
 type driver struct {
-	callers []*caller
-	turn    atomic.Uint64
-	record  *recorder
-	wg      sync.WaitGroup
+	callers   []*caller
+	nextIndex atomic.Uint64
+	recorder  *recorder
+	wg        sync.WaitGroup
 
 	mu sync.Mutex
 	// inFlight holds the jobs that can be canceled.
-	inFlight map[*flight]struct{}
+	inFlight map[*pendingJob]struct{}
 }
 
 // caller sends jobs to one URL.
@@ -44,19 +44,19 @@
 }
 
 // flight is one job under way.
-type flight struct {
+type pendingJob struct {
 	request
-	due    time.Time
-	cancel chan struct{}
-	once   sync.Once
+	due        time.Time
+	cancelCh   chan struct{}
+	cancelOnce sync.Once
 }
 
 // canceled ends the caller's interest in the answer.
-func (f *flight) canceled() { f.once.Do(func() { close(f.cancel) }) }
+func (f *pendingJob) cancelJob() { f.cancelOnce.Do(func() { close(f.cancelCh) }) }
 
-func (f *flight) isCanceled() bool {
+func (f *pendingJob) isCanceled() bool {
 	select {
-	case <-f.cancel:
+	case <-f.cancelCh:
 		return true
 	default:
 		return false
@@ -65,7 +65,7 @@
 
 func newDriver(urls []string, token string, r *recorder) *driver {
 	t := &http.Transport{MaxIdleConnsPerHost: 4096, IdleConnTimeout: 30 * time.Second, DisableCompression: true}
-	d := &driver{record: r, inFlight: make(map[*flight]struct{})}
+	d := &driver{recorder: r, inFlight: make(map[*pendingJob]struct{})}
 	for _, u := range urls {
 		d.callers = append(d.callers, &caller{Client: client.Client{URL: u, Token: token, HTTP: &http.Client{Transport: t}}})
 	}
@@ -77,11 +77,11 @@
 	start := time.Now()
 	due := start
 	for {
-		due = due.Add(g.gap(perSecond))
+		due = due.Add(g.nextInterval(perSecond))
 		if due.Sub(start) > length || !sleepUntil(ctx, due) {
 			break
 		}
-		d.send(ctx, g.next(), due)
+		d.send(ctx, g.nextRequest(), due)
 	}
 	d.wg.Wait()
 }
@@ -94,13 +94,13 @@
 // send sends one job without waiting for it. Its response time counts from when it
 // was due, so that a late sender doesn't make the system look faster.
 func (d *driver) send(ctx context.Context, r request, due time.Time) {
-	f := &flight{request: r, due: due, cancel: make(chan struct{})}
+	f := &pendingJob{request: r, due: due, cancelCh: make(chan struct{})}
 	d.mu.Lock()
 	d.inFlight[f] = struct{}{}
 	d.mu.Unlock()
-	d.record.sent(f)
+	d.recorder.recordSent(f)
 	d.wg.Go(func() {
-		d.fly(ctx, f)
+		d.sendAndRecord(ctx, f)
 		d.mu.Lock()
 		delete(d.inFlight, f)
 		d.mu.Unlock()
@@ -112,44 +112,44 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for f := range d.inFlight {
-		f.canceled()
+		f.cancelJob()
 	}
 }
 
 // next returns the caller for the next job, passing over paused ones.
-func (d *driver) next() *caller {
+func (d *driver) nextCaller() *caller {
 	now := time.Now().UnixNano()
 	for range d.callers {
-		c := d.callers[d.turn.Add(1)%uint64(len(d.callers))]
+		c := d.callers[d.nextIndex.Add(1)%uint64(len(d.callers))]
 		if c.pausedUntil.Load() < now {
 			return c
 		}
 	}
-	return d.callers[d.turn.Add(1)%uint64(len(d.callers))]
+	return d.callers[d.nextIndex.Add(1)%uint64(len(d.callers))]
 }
 
 // fly sends a job and records its ending.
-func (d *driver) fly(ctx context.Context, f *flight) {
-	wait := defaultWait
+func (d *driver) sendAndRecord(ctx context.Context, f *pendingJob) {
+	timeout := defaultAnswerTimeout
 	if f.job.DeadlineMs > 0 {
-		wait = time.Duration(f.job.DeadlineMs)*time.Millisecond + answerSlack
+		timeout = time.Duration(f.job.DeadlineMs)*time.Millisecond + answerGrace
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if f.cancelAfter > 0 {
-		t := time.AfterFunc(f.cancelAfter, f.canceled)
+		t := time.AfterFunc(f.cancelAfter, f.cancelJob)
 		defer t.Stop()
 	}
-	c := d.next()
+	c := d.nextCaller()
 	reply, err := c.submit(ctx, f)
-	if unreachable(err) {
+	if isDialError(err) {
 		c.pausedUntil.Store(time.Now().Add(unreachablePause).UnixNano())
 	}
-	d.record.ended(f, reply, err)
+	d.recorder.recordOutcome(f, reply, err)
 }
 
 // submit sends a job and returns its answer.
-func (c *caller) submit(ctx context.Context, f *flight) (client.Reply, error) {
+func (c *caller) submit(ctx context.Context, f *pendingJob) (client.Reply, error) {
 	if f.oneCall {
 		return c.oneCall(ctx, f)
 	}
@@ -161,7 +161,7 @@
 	defer close(done)
 	go func() {
 		select {
-		case <-f.cancel:
+		case <-f.cancelCh:
 			_, _ = c.Delete(ctx, ids[0]) // the answer to PUT tells how it ended
 		case <-done:
 		}
@@ -170,13 +170,13 @@
 }
 
 // oneCall sends a job in one call, which is canceled by hanging up.
-func (c *caller) oneCall(ctx context.Context, f *flight) (client.Reply, error) {
-	ctx, hangUp := context.WithCancel(ctx)
-	defer hangUp()
+func (c *caller) oneCall(ctx context.Context, f *pendingJob) (client.Reply, error) {
+	ctx, cancelCall := context.WithCancel(ctx)
+	defer cancelCall()
 	go func() {
 		select {
-		case <-f.cancel:
-			hangUp()
+		case <-f.cancelCh:
+			cancelCall()
 		case <-ctx.Done():
 		}
 	}()
@@ -184,17 +184,17 @@
 }
 
 // probes is the number of idle jobs by which round trips are measured.
-const probes = 30
+const probeCount = 30
 
 // roundTrip measures, on an idle system, the time that a job of one empty task takes:
 // what remains of the ideal beside the longest task.
 func (d *driver) roundTrip(ctx context.Context, kind string, oneCall bool) (time.Duration, error) {
 	var times []time.Duration
-	for range probes {
-		f := &flight{request: request{oneCall: oneCall}, cancel: make(chan struct{})}
+	for range probeCount {
+		f := &pendingJob{request: request{oneCall: oneCall}, cancelCh: make(chan struct{})}
 		f.job = schema.Job{Kind: kind, Tasks: []schema.Task{{Payload: runPayload(0)}}}
 		start := time.Now()
-		reply, err := d.next().submit(ctx, f)
+		reply, err := d.nextCaller().submit(ctx, f)
 		if err != nil {
 			return 0, errors.Wrap(err, "probing the idle system")
 		}
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -128,15 +128,15 @@
 	if err != nil {
 		return schema.LoadReport{}, err
 	}
-	sys, err := startSystem(ctx, s, p, c)
+	cluster, err := startLocalCluster(ctx, s, p, c)
 	if err != nil {
 		return schema.LoadReport{}, err
 	}
-	r := sys.run(p, load)
+	r := cluster.newRun(p, load)
 	r.Name = runName(s, load, policy)
 	r.Seed, r.Progress = seed, progress
 	report, err := r.Do(ctx)
-	return report, errors.CombineErrors(err, sys.stop())
+	return report, errors.CombineErrors(err, cluster.stop())
 }
 
 func runName(s schema.ExperimentSettings, load float64, policy string) string {
@@ -151,16 +151,16 @@
 }
 
 // run returns the run of a load, given as a share of the system's slots.
-func (s *system) run(p schema.LoadProfile, load float64) Run {
+func (s *localCluster) newRun(p schema.LoadProfile, load float64) Run {
 	slots := float64(s.settings.Workers * s.settings.Slots)
 	r := Run{
 		Profile: p, URLs: s.urls(), Token: loadToken,
-		JobsPerSecond: load * slots / meanWork(p).Seconds(),
+		JobsPerSecond: load * slots / meanJobRunTime(p).Seconds(),
 		Duration:      s.settings.Duration, WarmUp: s.settings.WarmUp,
 		counters: s,
 	}
 	if s.settings.Fault != faultNone {
-		r.fault = func(d *driver) { s.inject(s.settings.Fault, d) }
+		r.injectFault = func(d *driver) { s.injectFault(s.settings.Fault, d) }
 	}
 	return r
 }
@@ -176,7 +176,7 @@
 }
 
 // inject causes a fault.
-func (s *system) inject(fault string, d *driver) {
+func (s *localCluster) injectFault(fault string, d *driver) {
 	switch fault {
 	case faultBlackHole:
 		s.fleet.Servers[0].SetBehaviour(standin.Behaviour{Mode: standin.Fail})
@@ -185,6 +185,6 @@
 	case faultCancelWave:
 		d.cancelAll()
 	case faultEntryKilled:
-		s.kill(0)
+		s.abortEntry(0)
 	}
 }
--- a/internal/load/fleet.go
+++ b/internal/load/fleet.go
@@ -27,7 +27,7 @@
 // accepted.
 func ReadFleetProfile(file string) (schema.FleetProfile, error) {
 	var p schema.FleetProfile
-	if err := readStrict(file, "a fleet's profile", &p); err != nil {
+	if err := readStrictJSON(file, "a fleet's profile", &p); err != nil {
 		return p, err
 	}
 	return p, errors.Wrapf(checkFleetProfile(p), "%s", file)
@@ -65,7 +65,7 @@
 }
 
 // plannedDaemon is a daemon of a fleet that is worked out.
-type plannedDaemon struct {
+type modelDaemon struct {
 	fleet.DaemonInfo
 	mbps float64
 }
@@ -74,91 +74,91 @@
 // rules as they do: cells, readers, holders and the pace of heartbeats are the product's own.
 func EstimateFleet(p schema.FleetProfile) (reports []schema.FleetReport) {
 	for _, n := range p.Daemons {
-		reports = append(reports, planSize(p, int(n)))
+		reports = append(reports, estimateSize(p, int(n)))
 	}
 	return reports
 }
 
-func planSize(p schema.FleetProfile, n int) schema.FleetReport {
-	daemons, places := plannedDaemons(p, n)
+func estimateSize(p schema.FleetProfile, n int) schema.FleetReport {
+	daemons, infos := modelDaemons(p, n)
 	workers := make([]executor.WorkerInfo, int(float64(n)*p.WorkersPerDaemon))
 	for i := range workers {
 		workers[i] = executor.WorkerInfo{ID: fmt.Sprintf("worker-%d", i), Domain: fmt.Sprint(i % int(p.Domains))}
 	}
 	cells := fleet.Cells{}.ResizedFor(n)
 	r := schema.FleetReport{Daemons: int32(n), Workers: int32(len(workers)), Cells: int32(cells.Count())}
-	var sizes, shares, held, beats []float64
+	var cellSizes, cellWorkers, workersHeld, heartbeatRates []float64
 	var readers []registry.Relay
 	links := make(map[netip.AddrPort]float64)
 	for cell := range cells.Count() {
-		var members []plannedDaemon
+		var members []modelDaemon
 		for _, d := range daemons {
 			if cells.CellOf(d.Address) == cell {
 				members = append(members, d)
 			}
 		}
-		own := cells.Workers(cell, workers, places)
-		sizes, shares = append(sizes, float64(len(members))), append(shares, float64(len(own)))
-		held = append(held, holdings(own, members)...)
+		assigned := cells.Workers(cell, workers, infos)
+		cellSizes, cellWorkers = append(cellSizes, float64(len(members))), append(cellWorkers, float64(len(assigned)))
+		workersHeld = append(workersHeld, workersPerHolder(assigned, members)...)
 		if peers := len(members) - 1; peers > 0 {
 			rate := float64(peers) * float64(time.Second) / float64(fleet.HeartbeatInterval(peers))
-			beats = append(beats, slices.Repeat([]float64{rate}, len(members))...)
+			heartbeatRates = append(heartbeatRates, slices.Repeat([]float64{rate}, len(members))...)
 		}
 		for _, m := range members {
 			links[m.Address] = m.mbps
 		}
-		readers = append(readers, readersOf(members, cells.Count() > 1)...)
+		readers = append(readers, selectReaders(members, cells.Count() > 1)...)
 	}
 	roots := readers
 	if cells.Count() > 1 {
 		roots = registry.SelectRootRelays(readers)
 	}
-	narrowest := math.Inf(1)
+	narrowestMbps := math.Inf(1)
 	for _, root := range roots {
-		narrowest = min(narrowest, links[root.Address])
+		narrowestMbps = min(narrowestMbps, links[root.Address])
 	}
 	r.Readers, r.Roots = int32(len(readers)), int32(len(roots))
-	r.CellDaemons, r.CellWorkers, r.Held, r.Heartbeats = rangeOf(sizes), rangeOf(shares), rangeOf(held), rangeOf(beats)
-	r.Holders = int32(len(held))
-	planReading(&r, p, narrowest)
+	r.CellDaemons, r.CellWorkers, r.Held, r.Heartbeats = rangeOfValues(cellSizes), rangeOfValues(cellWorkers), rangeOfValues(workersHeld), rangeOfValues(heartbeatRates)
+	r.Holders = int32(len(workersHeld))
+	estimateReads(&r, p, narrowestMbps)
 	return r
 }
 
 // planReading works out what the reading of entries takes.
-func planReading(r *schema.FleetReport, p schema.FleetProfile, narrowest float64) {
+func estimateReads(r *schema.FleetReport, p schema.FleetProfile, narrowestMbps float64) {
 	const kilo, mega, bits = 1e3, 1e6, 8
-	entries := float64(r.Workers) * float64(p.EntryBytes)
-	second := entries * kilo / float64(p.RenewalMs)
-	r.RootKbytes = second / kilo
-	r.NarrowLinkShare = second * bits / mega / narrowest
-	r.StoreLinkShare = second * bits / mega * float64(r.Roots) / p.StoreMbps
-	all := entries * bits / mega
-	r.StartRootS = all / narrowest
-	r.StartStoreS = all * float64(r.Roots) / p.StoreMbps
-	r.StartReadersS = all * float64(r.Readers) / p.StoreMbps
-	r.StartAllS = all * float64(r.Daemons) / p.StoreMbps
+	entryBytes := float64(r.Workers) * float64(p.EntryBytes)
+	bytesPerSecond := entryBytes * kilo / float64(p.RenewalMs)
+	r.RootKbytes = bytesPerSecond / kilo
+	r.NarrowLinkShare = bytesPerSecond * bits / mega / narrowestMbps
+	r.StoreLinkShare = bytesPerSecond * bits / mega * float64(r.Roots) / p.StoreMbps
+	startMegabits := entryBytes * bits / mega
+	r.StartRootS = startMegabits / narrowestMbps
+	r.StartStoreS = startMegabits * float64(r.Roots) / p.StoreMbps
+	r.StartReadersS = startMegabits * float64(r.Readers) / p.StoreMbps
+	r.StartAllS = startMegabits * float64(r.Daemons) / p.StoreMbps
 }
 
 // plannedDaemons are daemons of all kinds of machines in all failure domains.
-func plannedDaemons(p schema.FleetProfile, n int) (list []plannedDaemon, places []fleet.DaemonInfo) {
-	domains, kind, before := int(p.Domains), 0, 0.0
+func modelDaemons(p schema.FleetProfile, n int) (list []modelDaemon, infos []fleet.DaemonInfo) {
+	domains, machine, shareBefore := int(p.Domains), 0, 0.0
 	for i := range n {
 		// Kinds one after the other, so that each domain has its part of each.
-		for kind < len(p.Machines)-1 && float64(i) >= (before+p.Machines[kind].Share)*float64(n) {
-			before += p.Machines[kind].Share
-			kind++
+		for machine < len(p.Machines)-1 && float64(i) >= (shareBefore+p.Machines[machine].Share)*float64(n) {
+			shareBefore += p.Machines[machine].Share
+			machine++
 		}
-		d := plannedDaemon{mbps: p.Machines[kind].Mbps, DaemonInfo: fleet.DaemonInfo{
+		d := modelDaemon{mbps: p.Machines[machine].Mbps, DaemonInfo: fleet.DaemonInfo{
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i % domains), byte(i / domains / 250), byte(1 + i/domains%250)}), 8000),
-			Domain:  fmt.Sprint(i % domains), Weight: p.Machines[kind].Cores,
+			Domain:  fmt.Sprint(i % domains), Weight: p.Machines[machine].Cores,
 		}}
-		list, places = append(list, d), append(places, d.DaemonInfo)
+		list, infos = append(list, d), append(infos, d.DaemonInfo)
 	}
-	return list, places
+	return list, infos
 }
 
 // holdings are the numbers of workers of those daemons of a cell that hold any.
-func holdings(workers []executor.WorkerInfo, members []plannedDaemon) (held []float64) {
+func workersPerHolder(workers []executor.WorkerInfo, members []modelDaemon) (held []float64) {
 	var list []fleet.Member
 	for _, m := range members {
 		list = append(list, fleet.Member{Process: member.Process{Address: m.Address}, Domain: m.Domain, Weight: m.Weight})
@@ -174,19 +174,19 @@
 }
 
 // readersOf are those daemons of a cell that read for all.
-func readersOf(members []plannedDaemon, divided bool) []registry.Relay {
-	var able []registry.Relay
+func selectReaders(members []modelDaemon, manyCells bool) []registry.Relay {
+	var candidates []registry.Relay
 	for _, m := range members {
-		able = append(able, registry.Relay{Process: member.Process{Address: m.Address}, Domain: m.Domain, Weight: m.Weight})
+		candidates = append(candidates, registry.Relay{Process: member.Process{Address: m.Address}, Domain: m.Domain, Weight: m.Weight})
 	}
-	if !registry.UsesRelays(len(members)-1, divided) {
-		return able
+	if !registry.UsesRelays(len(members)-1, manyCells) {
+		return candidates
 	}
-	chosen := registry.SelectRelays(able)
-	return slices.DeleteFunc(able, func(r registry.Relay) bool { return !slices.Contains(chosen, r.Process) })
+	chosen := registry.SelectRelays(candidates)
+	return slices.DeleteFunc(candidates, func(r registry.Relay) bool { return !slices.Contains(chosen, r.Process) })
 }
 
-func rangeOf(list []float64) schema.FleetRange {
+func rangeOfValues(list []float64) schema.FleetRange {
 	if len(list) == 0 {
 		return schema.FleetRange{}
 	}
@@ -200,12 +200,12 @@
 	fmt.Fprintln(t, "daemons\tworkers\tcells\tcell's daemons\tcell's workers\tholders\theld\theartbeats/s\treaders\troots\troot KB/s\tof its link\tof store's link\tstart: store s\troot s\treaders s\tall s")
 	for _, r := range reports {
 		fmt.Fprintf(t, "%d\t%d\t%d\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%.0f\t%.0f%%\t%.0f%%\t%.2f\t%.2f\t%.2f\t%.2f\n",
-			r.Daemons, r.Workers, r.Cells, span(r.CellDaemons), span(r.CellWorkers), r.Holders, span(r.Held), span(r.Heartbeats),
+			r.Daemons, r.Workers, r.Cells, formatRange(r.CellDaemons), formatRange(r.CellWorkers), r.Holders, formatRange(r.Held), formatRange(r.Heartbeats),
 			r.Readers, r.Roots, r.RootKbytes, 100*r.NarrowLinkShare, 100*r.StoreLinkShare, r.StartStoreS, r.StartRootS, r.StartReadersS, r.StartAllS)
 	}
 	return t.Flush()
 }
 
-func span(r schema.FleetRange) string {
+func formatRange(r schema.FleetRange) string {
 	return fmt.Sprintf("%.0f/%.0f/%.0f", r.Least, r.Middle, r.Most)
 }
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -14,9 +14,9 @@
 
 // Distributions of run times.
 const (
-	fixed     = "fixed"
-	uniform   = "uniform"
-	lognormal = "lognormal"
+	distFixed     = "fixed"
+	distUniform   = "uniform"
+	distLognormal = "lognormal"
 )
 
 // Kinds of the default profile.
@@ -30,7 +30,7 @@
 // seconds, and declared run times that are off by a factor of three either way.
 func DefaultProfile() schema.LoadProfile {
 	run := schema.LoadRunTime{
-		Distribution: lognormal, MinMs: 50, MedianMs: 200, MaxMs: 1000, Sigma: 0.7,
+		Distribution: distLognormal, MinMs: 50, MedianMs: 200, MaxMs: 1000, Sigma: 0.7,
 		SlowShare: 0.005, SlowMinMs: 2000, SlowMaxMs: 4000,
 	}
 	return schema.LoadProfile{Classes: []schema.LoadClass{
@@ -48,7 +48,7 @@
 // ReadProfile reads a profile from a file.
 func ReadProfile(file string) (schema.LoadProfile, error) {
 	var p schema.LoadProfile
-	if err := readStrict(file, "a load profile", &p); err != nil {
+	if err := readStrictJSON(file, "a load profile", &p); err != nil {
 		return p, err
 	}
 	return p, errors.Wrapf(CheckProfile(p), "%s", file)
@@ -56,14 +56,14 @@
 
 // readStrict reads a file of JSON in which every field has to be known; what it is to hold is
 // named in errors.
-func readStrict(file, what string, into any) error {
+func readStrictJSON(file, description string, target any) error {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
 	dec := json.NewDecoder(bytes.NewReader(b))
 	dec.DisallowUnknownFields()
-	return errors.Wrapf(dec.Decode(into), "%s is not %s", file, what)
+	return errors.Wrapf(dec.Decode(target), "%s is not %s", file, description)
 }
 
 // ProfileFromSettings returns the profile of one class that the settings describe.
@@ -72,7 +72,7 @@
 		Name: s.Kind, Kind: s.Kind, Urgency: s.Urgency, Weight: 1,
 		MinTasks: s.MinTasks, MaxTasks: s.MaxTasks, DeadlineMs: s.Deadline.Milliseconds(),
 		RunTime: schema.LoadRunTime{
-			Distribution: uniform, MinMs: s.MinRun.Milliseconds(), MaxMs: s.MaxRun.Milliseconds(),
+			Distribution: distUniform, MinMs: s.MinRun.Milliseconds(), MaxMs: s.MaxRun.Milliseconds(),
 		},
 		OneCall:     !s.Reserve,
 		CancelShare: s.CancelShare, CancelAfterMs: s.CancelAfter.Milliseconds(),
@@ -114,11 +114,11 @@
 
 func checkRunTime(r schema.LoadRunTime) error {
 	switch {
-	case r.Distribution != fixed && r.Distribution != uniform && r.Distribution != lognormal:
-		return errors.Newf("run_time.distribution is %q; accepted are %s, %s and %s", r.Distribution, fixed, uniform, lognormal)
-	case r.Distribution == fixed && r.MedianMs <= 0, r.Distribution == lognormal && r.MedianMs <= 0:
+	case r.Distribution != distFixed && r.Distribution != distUniform && r.Distribution != distLognormal:
+		return errors.Newf("run_time.distribution is %q; accepted are %s, %s and %s", r.Distribution, distFixed, distUniform, distLognormal)
+	case r.Distribution == distFixed && r.MedianMs <= 0, r.Distribution == distLognormal && r.MedianMs <= 0:
 		return errors.Newf("run_time.median_ms is %d; accepted are 1 and more", r.MedianMs)
-	case r.Distribution != fixed && (r.MinMs < 0 || r.MaxMs < r.MinMs || r.MaxMs == 0):
+	case r.Distribution != distFixed && (r.MinMs < 0 || r.MaxMs < r.MinMs || r.MaxMs == 0):
 		return errors.Newf("run_time.min_ms and max_ms are %d and %d; accepted are 0 and more, the smaller first", r.MinMs, r.MaxMs)
 	case r.SlowShare < 0 || r.SlowShare > 1:
 		return errors.Newf("run_time.slow_share is %v; accepted are 0 to 1", r.SlowShare)
@@ -129,7 +129,7 @@
 }
 
 // maxRun returns the longest run time of a class.
-func maxRun(c schema.LoadClass) time.Duration {
+func maxTaskRunTime(c schema.LoadClass) time.Duration {
 	longest := max(c.RunTime.MaxMs, c.RunTime.MedianMs)
 	if c.RunTime.SlowShare > 0 {
 		longest = max(longest, c.RunTime.SlowMaxMs)
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -26,9 +26,9 @@
 	// Progress is written to every second; nil for none.
 	Progress io.Writer
 	// counters are read before and after.
-	counters source
+	counters counterSource
 	// fault is called once, a third into the duration; nil for none.
-	fault func(d *driver)
+	injectFault func(d *driver)
 }
 
 // RemoteRun returns the run of the settings against running entries.
@@ -36,7 +36,7 @@
 	return Run{
 		Name: "load", Profile: p, URLs: s.Urls, Token: s.Token, JobsPerSecond: s.JobsPerSecond,
 		Duration: s.Duration, WarmUp: s.WarmUp, Seed: s.Seed, Progress: progress,
-		counters: remote{metrics: s.MetricsUrls, backends: s.Backends},
+		counters: httpCounters{metrics: s.MetricsUrls, backends: s.Backends},
 	}
 }
 
@@ -58,33 +58,33 @@
 	if err := r.Check(); err != nil {
 		return schema.LoadReport{}, err
 	}
-	roundTrip, err := r.roundTrips(ctx)
+	roundTrip, err := r.measureRoundTrips(ctx)
 	if err != nil {
 		return schema.LoadReport{}, err
 	}
-	before, err := r.counters.read(ctx)
+	before, err := r.counters.readCounters(ctx)
 	if err != nil {
 		return schema.LoadReport{}, err
 	}
-	used := readUsage()
-	record := newRecorder(r.Profile, r.WarmUp, roundTrip)
-	r.drive(ctx, record)
-	machine := readUsage().since(used)
-	after, err := r.counters.read(ctx)
+	usageBefore := readUsage()
+	rec := newRecorder(r.Profile, r.WarmUp, roundTrip)
+	r.sendJobs(ctx, rec)
+	machineLoad := readUsage().since(usageBefore)
+	after, err := r.counters.readCounters(ctx)
 	if err != nil {
 		return schema.LoadReport{}, err
 	}
-	out := record.result(r.Profile)
+	out := rec.buildReport(r.Profile)
 	out.Name, out.Seed, out.JobsPerSecond = r.Name, r.Seed, r.JobsPerSecond
 	out.Seconds = r.Duration.Seconds()
-	out.OfferedSlots = record.offeredWork().Seconds() / out.Seconds
-	out.Waste = after.since(before).waste(record.usefulWork().Seconds())
-	out.Machine = machine
+	out.OfferedSlots = rec.totalOfferedRunTime().Seconds() / out.Seconds
+	out.Waste = after.since(before).waste(rec.totalUsefulRunTime().Seconds())
+	out.Machine = machineLoad
 	return out, nil
 }
 
 // roundTrips measures the idle system, for the ways of sending that the profile uses.
-func (r Run) roundTrips(ctx context.Context) (map[bool]time.Duration, error) {
+func (r Run) measureRoundTrips(ctx context.Context) (map[bool]time.Duration, error) {
 	d := newDriver(r.URLs, r.Token, nil)
 	times := make(map[bool]time.Duration)
 	for _, c := range r.Profile.Classes {
@@ -101,15 +101,15 @@
 }
 
 // drive sends the jobs, with progress and the fault at its time.
-func (r Run) drive(ctx context.Context, record *recorder) {
-	d := newDriver(r.URLs, r.Token, record)
+func (r Run) sendJobs(ctx context.Context, rec *recorder) {
+	d := newDriver(r.URLs, r.Token, rec)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if r.Progress != nil {
-		go showProgress(ctx, r.Progress, r.Name, r.WarmUp+r.Duration, record)
+		go showProgress(ctx, r.Progress, r.Name, r.WarmUp+r.Duration, rec)
 	}
-	if r.fault != nil {
-		t := time.AfterFunc(r.WarmUp+r.Duration/3, func() { r.fault(d) })
+	if r.injectFault != nil {
+		t := time.AfterFunc(r.WarmUp+r.Duration/3, func() { r.injectFault(d) })
 		defer t.Stop()
 	}
 	d.run(ctx, newGenerator(r.Profile, r.Seed), r.JobsPerSecond, r.WarmUp+r.Duration)
--- a/internal/load/system.go
+++ b/internal/load/system.go
@@ -28,18 +28,18 @@
 	// workersPerRack of the systems that run today.
 	workersPerRack = 8
 	// settleTimeout bounds the wait until all entries know each other.
-	settleTimeout = 15 * time.Second
+	readyTimeout = 15 * time.Second
 	// answerRetention is short: nobody asks for an answer again.
 	answerRetention = "10s"
 	// notRead stands for the files of the credentials, which are made in memory.
-	notRead = "none"
+	unusedFile = "none"
 )
 
 var freePort = netip.MustParseAddrPort("127.0.0.1:0")
 
 // system is a whole system in this process: a stand-in platform, stand-in backend
 // servers and entries.
-type system struct {
+type localCluster struct {
 	settings schema.ExperimentSettings
 	platform *http.Server
 	url      string
@@ -49,15 +49,15 @@
 }
 
 // startSystem starts everything and waits until every entry knows its peers.
-func startSystem(ctx context.Context, s schema.ExperimentSettings, p schema.LoadProfile, c sched.Config) (*system, error) {
-	sys := &system{settings: s}
-	if err := sys.start(ctx, p, c); err != nil {
-		return nil, errors.CombineErrors(err, sys.stop())
+func startLocalCluster(ctx context.Context, s schema.ExperimentSettings, p schema.LoadProfile, c sched.Config) (*localCluster, error) {
+	cluster := &localCluster{settings: s}
+	if err := cluster.start(ctx, p, c); err != nil {
+		return nil, errors.CombineErrors(err, cluster.stop())
 	}
-	return sys, nil
+	return cluster, nil
 }
 
-func (s *system) start(ctx context.Context, p schema.LoadProfile, c sched.Config) error {
+func (s *localCluster) start(ctx context.Context, p schema.LoadProfile, c sched.Config) error {
 	var err error
 	s.fleet, err = standinbackend.Listen(schema.BackendSettings{
 		Address: freePort, Count: s.settings.Workers, Slots: s.settings.Slots, Connections: s.settings.Connections,
@@ -73,26 +73,26 @@
 		return err
 	}
 	server.SetVMs(s.vms())
-	return s.settle(ctx)
+	return s.waitUntilReady(ctx)
 }
 
 // startPlatform starts the stand-in platform with the profile's kinds.
-func (s *system) startPlatform(ctx context.Context, server *standinplatform.Server, p schema.LoadProfile) error {
+func (s *localCluster) startPlatform(ctx context.Context, server *standinplatform.Server, p schema.LoadProfile) error {
 	l, err := net.Listen("tcp", freePort.String())
 	if err != nil {
 		return err
 	}
-	s.platform = &http.Server{Handler: server, ReadHeaderTimeout: settleTimeout}
+	s.platform = &http.Server{Handler: server, ReadHeaderTimeout: readyTimeout}
 	go s.platform.Serve(l)
 	s.url = "http://" + l.Addr().String()
-	return entry.SeedConfig(ctx, s.url, document(p))
+	return entry.SeedConfig(ctx, s.url, configFor(p))
 }
 
 // document returns a configuration with the kinds of a profile.
-func document(p schema.LoadProfile) *schema.Config {
+func configFor(p schema.LoadProfile) *schema.Config {
 	kinds := make(map[string]*schema.Kind)
 	for _, c := range p.Classes {
-		declared := float64(meanRun(c).Milliseconds())
+		declared := float64(meanTaskRunTime(c).Milliseconds())
 		if c.DeclaredFactor > 0 {
 			declared *= c.DeclaredFactor
 		}
@@ -109,7 +109,7 @@
 	}
 }
 
-func (s *system) startEntries(ctx context.Context, c sched.Config) error {
+func (s *localCluster) startEntries(ctx context.Context, c sched.Config) error {
 	pem, err := peer.Generate()
 	if err != nil {
 		return err
@@ -121,7 +121,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for i := range s.settings.Domains * s.settings.Entries {
-		settings, err := s.entrySettings(domain(i, s.settings.Domains))
+		settings, err := s.entrySettings(domainName(i, s.settings.Domains))
 		if err != nil {
 			return err
 		}
@@ -138,10 +138,10 @@
 	return nil
 }
 
-func domain(i, domains int32) string { return fmt.Sprintf("domain-%d", i%domains) }
+func domainName(i, domains int32) string { return fmt.Sprintf("domain-%d", i%domains) }
 
 // entrySettings returns an entry's settings as its command line would give them.
-func (s *system) entrySettings(domain string) (schema.EntrySettings, error) {
+func (s *localCluster) entrySettings(domain string) (schema.EntrySettings, error) {
 	var c schema.EntrySettings
 	parser, err := kong.New(&c)
 	if err != nil {
@@ -151,22 +151,22 @@
 	_, err = parser.Parse([]string{
 		"--domain", domain, "--platform-url", s.url, "--answer-retention", answerRetention,
 		"--caller-address", free, "--operator-address", free, "--metrics-address", free, "--peer-address", free,
-		"--ca-file", notRead, "--cert-file", notRead, "--key-file", notRead,
+		"--ca-file", unusedFile, "--cert-file", unusedFile, "--key-file", unusedFile,
 	})
 	return c, err
 }
 
 // vms returns the list of the entries and workers.
-func (s *system) vms() []*schema.Vm {
+func (s *localCluster) vms() []*schema.Vm {
 	var list []*schema.Vm
 	for i, e := range s.entries {
 		list = append(list, &schema.Vm{
-			Address: e.PeerAddress().String(), Domain: domain(int32(i), s.settings.Domains), Role: schema.VmRole_VM_ROLE_ENTRY,
+			Address: e.PeerAddress().String(), Domain: domainName(int32(i), s.settings.Domains), Role: schema.VmRole_VM_ROLE_ENTRY,
 		})
 	}
 	for i, a := range s.fleet.Addresses {
 		list = append(list, &schema.Vm{
-			Address: a.String(), Domain: domain(int32(i), s.settings.Domains),
+			Address: a.String(), Domain: domainName(int32(i), s.settings.Domains),
 			Rack: fmt.Sprintf("rack-%d", i/workersPerRack), Role: schema.VmRole_VM_ROLE_WORKER,
 			Slots: uint32(s.settings.Slots), Connections: uint32(s.settings.Connections),
 			Resources: &schema.Resources{Cpus: 64, MemoryMb: 256 << 10},
@@ -176,8 +176,8 @@
 }
 
 // settle waits until the entries have divided all slots among themselves.
-func (s *system) settle(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+func (s *localCluster) waitUntilReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	want := uint32(s.settings.Workers * s.settings.Slots)
 	for {
@@ -200,7 +200,7 @@
 }
 
 // urls returns the callers' URLs.
-func (s *system) urls() []string {
+func (s *localCluster) urls() []string {
 	var urls []string
 	for _, e := range s.entries {
 		urls = append(urls, "http://"+e.CallerAddress().String())
@@ -212,27 +212,27 @@
 }
 
 // read implements source.
-func (s *system) read(ctx context.Context) (counters, error) {
-	var r remote
+func (s *localCluster) readCounters(ctx context.Context) (counters, error) {
+	var reader httpCounters
 	for i, e := range s.entries {
 		if s.alive[i] {
-			r.metrics = append(r.metrics, "http://"+e.MetricsAddress().String()+"/metrics")
+			reader.metrics = append(reader.metrics, "http://"+e.MetricsAddress().String()+"/metrics")
 		}
 	}
-	c, err := r.read(ctx)
+	c, err := reader.readCounters(ctx)
 	for _, b := range s.fleet.Servers {
-		c.addWitness(b.Totals())
+		c.addRunRecord(b.Totals())
 	}
 	return c, err
 }
 
 // kill breaks one entry off, as when its process dies.
-func (s *system) kill(i int) {
+func (s *localCluster) abortEntry(i int) {
 	s.alive[i] = false
 	_ = s.entries[i].Abort() // it is dead in any case
 }
 
-func (s *system) stop() error {
+func (s *localCluster) stop() error {
 	var err error
 	for i, e := range s.entries {
 		if s.alive[i] {
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -22,7 +22,7 @@
 			fmt.Fprint(w, "\r\033[K")
 			return
 		}
-		running, s, p99 := r.state()
+		running, s, p99 := r.progress()
 		fmt.Fprintf(w, "\r\033[K%s  %s of %s  running %d  complete %d  refused %d  failed %d  unanswered %d  p99 %.2f",
 			name, time.Since(r.start).Round(time.Second), length, running, s.Complete, s.Refused, s.Failed, s.Unanswered, p99)
 	}
@@ -36,18 +36,18 @@
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%.4f\t%.1f%%\t%d\t%s\n",
 			r.Name, r.Jobs, r.Complete, r.Refused, r.Failed, r.Canceled, r.Unanswered, r.Late,
 			r.Ratio.P50, r.Ratio.P95, r.Ratio.P99, r.Ratio.Max,
-			r.Waste.PerTask, 100*r.Waste.UselessWork, r.Waste.Doubled, busy(r.Machine))
+			r.Waste.PerTask, 100*r.Waste.UselessWork, r.Waste.Doubled, formatBusy(r.Machine))
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	for _, r := range reports {
-		writeReasons(w, r)
+		writeDetails(w, r)
 	}
 	return nil
 }
 
-func busy(m schema.LoadMachine) string {
+func formatBusy(m schema.LoadMachine) string {
 	s := fmt.Sprintf("%.0f%%", 100*m.Busy)
 	if m.Saturated {
 		s += " (too busy to be believed)"
@@ -56,7 +56,7 @@
 }
 
 // writeReasons writes the counters of one run that are not zero.
-func writeReasons(w io.Writer, r schema.LoadReport) {
+func writeDetails(w io.Writer, r schema.LoadReport) {
 	fmt.Fprintf(w, "%s: %.1f jobs/s, %d tasks, work for %.0f slots, idle round trip %.2f ms in one call, %.2f ms reserved, own processors %.1f",
 		r.Name, r.JobsPerSecond, r.Tasks, r.OfferedSlots, r.RoundTripOneCallMs, r.RoundTripReservedMs, r.Machine.ProcessCores)
 	for _, c := range r.Classes {
@@ -71,14 +71,14 @@
 		{"retries", r.Waste.Retries}, {"messages between entries", r.Waste.PeerMessages},
 	} {
 		if len(l.list) > 0 {
-			fmt.Fprintf(w, "  %s: %s\n", l.name, join(l.list))
+			fmt.Fprintf(w, "  %s: %s\n", l.name, joinCounts(l.list))
 		}
 	}
 	fmt.Fprintf(w, "  refused by workers: %d; requests for slots that brought nothing: %d; refusals told within %.0f ms (p99)\n",
 		r.Waste.RefusedByWorkers, r.Waste.EmptyBorrows, r.RefusalMs.P99)
 }
 
-func join(list []schema.LoadCount) string {
+func joinCounts(list []schema.LoadCount) string {
 	parts := make([]string, len(list))
 	for i, c := range list {
 		parts[i] = fmt.Sprintf("%s %d", c.Name, c.Count)
--- a/internal/logging/queue.go
+++ b/internal/logging/queue.go
@@ -11,14 +11,14 @@
 
 const (
 	// queueLines bounds the lines that wait to be written, of each of the two ranks.
-	queueLines = 4096
+	maxQueuedLines = 4096
 	// linesPerSecond and lineBurst bound the lines below a warning: at a full load of a
 	// daemon some 400 a second come, and a fault that repeats itself must not take the
 	// processor from callers.
 	linesPerSecond = 1000
-	lineBurst      = 4000
+	lineBurstSize  = 4000
 	// batchBytes bounds one write; each is a system call.
-	batchBytes = 32 << 10
+	maxBatchBytes = 32 << 10
 )
 
 // AsyncWriter is a writer that never holds its caller up: lines wait in bounded queues, and what
@@ -26,60 +26,60 @@
 type AsyncWriter struct {
 	w         io.Writer
 	high, low chan []byte
-	left      atomic.Int64
+	dropped   atomic.Int64
 	done      chan struct{}
 	closeOnce sync.Once
 	closing   chan struct{}
 
-	mu     sync.Mutex
-	tokens float64
-	filled time.Time
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
 }
 
 // NewAsyncWriter returns a queue that writes to w until it is closed.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
 	q := &AsyncWriter{
-		w: w, high: make(chan []byte, queueLines), low: make(chan []byte, queueLines),
-		done: make(chan struct{}), closing: make(chan struct{}), tokens: lineBurst, filled: time.Now(),
+		w: w, high: make(chan []byte, maxQueuedLines), low: make(chan []byte, maxQueuedLines),
+		done: make(chan struct{}), closing: make(chan struct{}), tokens: lineBurstSize, refilledAt: time.Now(),
 	}
 	go q.run()
 	return q
 }
 
 // DroppedLines returns the number of lines that were left out so far.
-func (q *AsyncWriter) DroppedLines() int64 { return q.left.Load() }
+func (q *AsyncWriter) DroppedLines() int64 { return q.dropped.Load() }
 
 // Write queues one line. It never fails and never waits.
 func (q *AsyncWriter) Write(p []byte) (int, error) {
-	to := q.high
-	if isRoutine(p) {
-		to = q.low
-		if !q.take() {
-			q.left.Add(1)
+	queue := q.high
+	if isBelowWarning(p) {
+		queue = q.low
+		if !q.takeToken() {
+			q.dropped.Add(1)
 			return len(p), nil
 		}
 	}
 	select {
-	case to <- bytes.Clone(p):
+	case queue <- bytes.Clone(p):
 	default:
-		q.left.Add(1)
+		q.dropped.Add(1)
 	}
 	return len(p), nil
 }
 
 // isRoutine reports whether a line is below a warning.
-func isRoutine(p []byte) bool {
+func isBelowWarning(p []byte) bool {
 	head := p[:min(len(p), 80)]
 	return bytes.Contains(head, []byte("level=info")) || bytes.Contains(head, []byte("level=debug"))
 }
 
 // take takes a token for one line.
-func (q *AsyncWriter) take() bool {
+func (q *AsyncWriter) takeToken() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
-	q.tokens = min(q.tokens+now.Sub(q.filled).Seconds()*linesPerSecond, lineBurst)
-	q.filled = now
+	q.tokens = min(q.tokens+now.Sub(q.refilledAt).Seconds()*linesPerSecond, lineBurstSize)
+	q.refilledAt = now
 	if q.tokens < 1 {
 		return false
 	}
@@ -98,16 +98,16 @@
 
 func (q *AsyncWriter) run() {
 	defer close(q.done)
-	var told int64
+	var reportedDrops int64
 	for {
-		line, ok := q.next()
+		line, ok := q.nextLine()
 		if !ok {
 			return
 		}
-		batch := q.batch(line)
-		if n := q.left.Load(); n > told {
-			batch = fmt.Appendf(batch, "time=%q level=warning event=log_lines_left_out lines=%d\n", time.Now().Format(TimeFormat), n-told)
-			told = n
+		batch := q.collectBatch(line)
+		if n := q.dropped.Load(); n > reportedDrops {
+			batch = fmt.Appendf(batch, "time=%q level=warning event=log_lines_left_out lines=%d\n", time.Now().Format(TimeFormat), n-reportedDrops)
+			reportedDrops = n
 		}
 		// An output that is gone is no reason to stop serving; lines are then lost.
 		_, _ = q.w.Write(batch)
@@ -115,8 +115,8 @@
 }
 
 // next waits for a line; false when the queue is closed and empty.
-func (q *AsyncWriter) next() ([]byte, bool) {
-	if line, ok := q.ready(); ok {
+func (q *AsyncWriter) nextLine() ([]byte, bool) {
+	if line, ok := q.queuedLine(); ok {
 		return line, true
 	}
 	select {
@@ -125,12 +125,12 @@
 	case line := <-q.low:
 		return line, true
 	case <-q.closing:
-		return q.ready()
+		return q.queuedLine()
 	}
 }
 
 // ready returns a line that waits, one of a failure first.
-func (q *AsyncWriter) ready() ([]byte, bool) {
+func (q *AsyncWriter) queuedLine() ([]byte, bool) {
 	select {
 	case line := <-q.high:
 		return line, true
@@ -144,10 +144,10 @@
 	}
 }
 
-func (q *AsyncWriter) batch(first []byte) []byte {
+func (q *AsyncWriter) collectBatch(first []byte) []byte {
 	b := first
-	for len(b) < batchBytes {
-		line, ok := q.ready()
+	for len(b) < maxBatchBytes {
+		line, ok := q.queuedLine()
 		if !ok {
 			break
 		}
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -36,7 +36,7 @@
 }
 
 // expire drops the leases that ran out and their keys. Called under the lock.
-func (s *store) expire(now time.Time) {
+func (s *store) dropExpired(now time.Time) {
 	for id, l := range s.leases {
 		if now.Before(l.expires) {
 			continue
@@ -47,11 +47,11 @@
 				delete(s.values, k)
 			}
 		}
-		s.wake()
+		s.notifyWatchers()
 	}
 }
 
-func (s *store) wake() {
+func (s *store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -60,7 +60,7 @@
 func (s *store) get(key string) (v platform.Value, found bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire(time.Now())
+	s.dropExpired(time.Now())
 	e, found := s.values[key]
 	return e.Value, found, s.changed
 }
@@ -69,7 +69,7 @@
 func (s *store) put(key string, prev uint64, value []byte, leaseID uint64) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire(time.Now())
+	s.dropExpired(time.Now())
 	if s.values[key].Revision != prev {
 		return 0, platform.ErrConflict
 	}
@@ -77,7 +77,7 @@
 		return 0, errLeaseExpired
 	}
 	s.values[key] = entry{Value: platform.Value{Revision: prev + 1, Value: value}, lease: leaseID}
-	s.wake()
+	s.notifyWatchers()
 	return prev + 1, nil
 }
 
@@ -86,7 +86,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.values[key] = entry{Value: v}
-	s.wake()
+	s.notifyWatchers()
 }
 
 func (s *store) grant(ttl time.Duration) uint64 {
@@ -100,7 +100,7 @@
 func (s *store) renew(id uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire(time.Now())
+	s.dropExpired(time.Now())
 	l, ok := s.leases[id]
 	if !ok {
 		return errLeaseExpired
--- a/internal/tools/protoc-gen-plain/main.go
+++ b/internal/tools/protoc-gen-plain/main.go
@@ -33,22 +33,22 @@
 	g.P()
 	g.P("package ", f.GoPackageName)
 	for _, m := range f.Messages {
-		writeStruct(g, m)
+		writePlainStruct(g, m)
 	}
 }
 
 // writeStruct writes one message as a struct.
-func writeStruct(g *protogen.GeneratedFile, m *protogen.Message) {
+func writePlainStruct(g *protogen.GeneratedFile, m *protogen.Message) {
 	g.P()
 	g.P(m.Comments.Leading, "type ", m.GoIdent, " struct {")
 	for _, field := range m.Fields {
-		g.P(field.Comments.Leading, field.GoName, " ", goType(g, field), " ", tag(m, field))
+		g.P(field.Comments.Leading, field.GoName, " ", goType(g, field), " ", structTag(m, field))
 	}
 	g.P("}")
 }
 
 // option reads one string option of a field.
-func option(field *protogen.Field, x protoreflect.ExtensionType) string {
+func stringOption(field *protogen.Field, x protoreflect.ExtensionType) string {
 	return proto.GetExtension(fieldOptions(field), x).(string)
 }
 
@@ -59,8 +59,8 @@
 // goType returns the Go type of a field, a slice when it is repeated.
 func goType(g *protogen.GeneratedFile, field *protogen.Field) string {
 	name := scalarType(g, field)
-	if named := option(field, schema.E_GoType); named != "" {
-		name = qualified(g, named)
+	if named := stringOption(field, schema.E_GoType); named != "" {
+		name = qualifiedType(g, named)
 	}
 	if field.Desc.IsList() {
 		return "[]" + name
@@ -88,7 +88,7 @@
 	"time":  "time",
 }
 
-func qualified(g *protogen.GeneratedFile, name string) string {
+func qualifiedType(g *protogen.GeneratedFile, name string) string {
 	pkg, ident, ok := strings.Cut(name, ".")
 	if !ok {
 		return name
@@ -97,7 +97,7 @@
 }
 
 // tag returns the struct tag of a field.
-func tag(m *protogen.Message, field *protogen.Field) string {
+func structTag(m *protogen.Message, field *protogen.Field) string {
 	name := string(field.Desc.Name())
 	opts := m.Desc.Options().(*descriptorpb.MessageOptions)
 	if proto.GetExtension(opts, schema.E_Settings).(bool) {
@@ -118,10 +118,10 @@
 		fmt.Sprintf("env:%q", "LAVENDERCLEAT_"+strings.ToUpper(name)),
 		fmt.Sprintf("help:%q", help),
 	}
-	if def := option(field, schema.E_Default); def != "" {
+	if def := stringOption(field, schema.E_Default); def != "" {
 		parts = append(parts, fmt.Sprintf("default:%q", def))
 	}
-	if more := option(field, schema.E_Kong); more != "" {
+	if more := stringOption(field, schema.E_Kong); more != "" {
 		if !strings.Contains(more, ":") {
 			more += `:""`
 		}
