--- a/internal/cli/run.go
+++ b/internal/cli/app.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// startTimeout bounds the start of a daemon.
+	// startTimeout is the time limit for the start of a daemon.
 	startTimeout = 15 * time.Second
-	// stopMargin is added to an entry's own limits for a planned stop.
+	// stopMargin is the time that an entry gets for its stop in addition to its own stop limits.
 	stopMargin = 10 * time.Second
 )
 
-// newApp returns an fx application with a logger and the given parts.
+// newApp returns an fx application with a logger and the given components.
 func newApp(s *streams, l *schema.LogSettings, stopTimeout time.Duration, parts ...fx.Option) *fx.App {
 	return fx.New(
 		fx.StartTimeout(startTimeout),
@@ -34,7 +34,7 @@
 	)
 }
 
-// runApp runs an application until a signal stops it.
+// runApp starts an application, waits for a signal and stops the application.
 func runApp(app *fx.App) error {
 	if err := app.Err(); err != nil {
 		return err
@@ -50,12 +50,13 @@
 	return app.Stop(stopCtx)
 }
 
-// hookEntry starts and stops an entry with the application.
+// addEntryHooks makes the application start and stop the entry.
 func addEntryHooks(lc fx.Lifecycle, e *entry.Entry) {
 	lc.Append(fx.Hook{OnStart: e.Start, OnStop: e.Stop})
 }
 
-// entryReady is the first line on the standard output of entry and dev.
+// entryReady is the first line that the entry and dev commands print on the standard output. It has
+// the addresses on which the entry listens.
 type entryReady struct {
 	CallerURL   string `json:"caller_url"`
 	OperatorURL string `json:"operator_url"`
@@ -64,7 +65,7 @@
 	PeerListen netip.AddrPort `json:"peer_listen"`
 }
 
-// printReady prints where a started entry listens.
+// printReady prints the addresses of a started entry.
 func printReady(w io.Writer, e *entry.Entry) error {
 	return printJSON(w, entryReady{
 		CallerURL:   httpURL(e.CallerAddress()),
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -26,20 +26,20 @@
 	devWorkers = 4
 	devSlots   = 8
 	devTeam    = "dev"
-	// devToken is the caller's token in dev, devOperatorToken the operator's.
+	// devToken is the caller's token and devOperatorToken the operator's.
 	devToken         = "dev-token"
 	devOperatorToken = "dev-operator-token"
-	// maxDevPort leaves room for the ports after the first.
+	// maxDevPort leaves valid port numbers for the two interfaces after the first.
 	maxDevPort = 65530
 )
 
-// devCommand runs everything in one process.
+// devCommand runs an entry with a stand-in platform and stand-in backend servers in one process.
 type devCommand struct {
 	Once bool `help:"Submit one sample job, print its answer and exit."`
-	Port int  `help:"Port of the caller interface on 127.0.0.1; the operator interface and metrics get the next two. 0 picks free ports." default:"7400"`
+	Port int  `help:"Port of the caller interface on 127.0.0.1. The operator interface and the metrics use the next two ports. 0 picks free ports." default:"7400"`
 }
 
-// Validate checks the settings.
+// Validate checks the port.
 func (c *devCommand) Validate() error {
 	if c.Port < 0 || c.Port > maxDevPort {
 		return errors.Newf("--port is %d; accepted are 0 to %d", c.Port, maxDevPort)
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// Run runs dev, for one job or until a signal.
+// Run runs the sample job with --once. Otherwise it serves until a signal arrives.
 func (c *devCommand) Run(s *streams, l *schema.LogSettings) error {
 	var e *entry.Entry
 	app := newApp(s, l, standinStopTimeout,
@@ -61,7 +61,7 @@
 	return runDev(app, &e, s)
 }
 
-// runDev runs until a signal.
+// runDev serves until a signal arrives.
 func runDev(app *fx.App, e **entry.Entry, s *streams) error {
 	if err := startDev(app, e); err != nil {
 		return err
@@ -73,7 +73,7 @@
 	return stopDev(app)
 }
 
-// runOnce submits the sample job and prints its answer.
+// runOnce submits the sample job, prints its answer and stops the application.
 func (c *devCommand) runOnce(app *fx.App, e **entry.Entry, s *streams) error {
 	if err := startDev(app, e); err != nil {
 		return err
@@ -88,7 +88,7 @@
 	return errors.CombineErrors(err, stopDev(app))
 }
 
-// startDev starts the application and waits until the entry is ready.
+// startDev starts the application and waits until the entry is ready for jobs.
 func startDev(app *fx.App, e **entry.Entry) error {
 	if err := app.Err(); err != nil {
 		return err
@@ -101,7 +101,7 @@
 	for !(*e).Ready() {
 		select {
 		case <-ctx.Done():
-			return errors.New("the entry did not become ready")
+			return errors.Newf("the entry is not ready %s after the start of the application", app.StartTimeout())
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
@@ -119,7 +119,8 @@
 	url string
 }
 
-// newDevPlatform starts the stand-in with the workers and the sample configuration.
+// newDevPlatform starts the stand-in platform with the stand-in workers in its VM list, and writes the
+// sample configuration to it.
 func newDevPlatform(lc fx.Lifecycle, backends *standinbackend.Fleet) (*devPlatform, error) {
 	server := standinplatform.NewServer()
 	server.SetVMs(devVMs(backends))
@@ -134,6 +135,7 @@
 	return p, entry.SeedConfig(context.Background(), p.url, sampleConfig())
 }
 
+// devVMs returns the VM list: all backend servers as workers of one failure domain, two in each rack.
 func devVMs(backends *standinbackend.Fleet) []*schema.Vm {
 	var vms []*schema.Vm
 	for i, a := range backends.Addresses {
@@ -150,6 +152,7 @@
 	return vms
 }
 
+// newDevBackends starts the stand-in backend servers on free ports.
 func newDevBackends(lc fx.Lifecycle) (*standinbackend.Fleet, error) {
 	f, err := standinbackend.Listen(schema.BackendSettings{
 		Address:     netip.MustParseAddrPort("127.0.0.1:0"),
@@ -165,7 +168,7 @@
 	return f, nil
 }
 
-// newDevCredentials makes keys and certificates in memory.
+// newDevCredentials generates keys and certificates in memory.
 func newDevCredentials() (peer.Credentials, error) {
 	p, err := peer.Generate()
 	if err != nil {
@@ -174,7 +177,7 @@
 	return p.Credentials()
 }
 
-// settings returns the entry's settings.
+// entrySettings returns the settings of the entry. With --once, it listens on free ports.
 func (c *devCommand) entrySettings(p *devPlatform) schema.EntrySettings {
 	port := func(offset int) netip.AddrPort {
 		if c.Port == 0 || c.Once {
@@ -205,8 +208,8 @@
 	}
 }
 
-// stopTimeout returns how long a stop waits for jobs in flight, and then for an entry
-// that takes the answers over, of which dev has none.
+// stopTimeout returns how long a stop waits first for jobs in flight, and then for another entry to
+// take over the answers. The dev command has no other entry.
 func (c *devCommand) stopTimeout() time.Duration {
 	if c.Once {
 		return 0
--- a/internal/cli/sample.go
+++ b/internal/cli/dev_sample.go
@@ -7,8 +7,8 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// sampleConfig returns the configuration of dev: an idempotent quote and a booking
-// that must run at most once.
+// sampleConfig returns the configuration of the dev command. It has two kinds: an idempotent quote,
+// and a booking that must run at most once.
 func sampleConfig() *schema.Config {
 	return &schema.Config{
 		Revision: 1,
@@ -26,7 +26,7 @@
 	}
 }
 
-// sampleQuote returns the job of dev --once: one loft quote of several tasks.
+// sampleJob returns the job that dev --once submits: a loft quote with several tasks.
 func sampleJob() schema.Job {
 	return schema.Job{
 		Kind: "loft-quote",
--- a/internal/cli/dev_test.go
+++ b/internal/cli/dev_test.go
@@ -11,8 +11,8 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// dev --once prints one whole answer: a result for every task, in the order of the
-// tasks, each from the task's own payload.
+// The answer that dev --once prints lacks results, has them in another order than the tasks, or has
+// results of other payloads.
 func TestDevOncePrintsResultOfEveryTask(t *testing.T) {
 	var out, log bytes.Buffer
 	code := Main([]string{"dev", "--once"}, &out, &log)
@@ -37,8 +37,8 @@
 	}
 }
 
-// A wrong setting ends the command before anything is done; the error names the flag
-// and the accepted values.
+// A command with an invalid setting runs anyway, or its error does not name the flag and the accepted
+// values.
 func TestInvalidSettingErrorNamesFlag(t *testing.T) {
 	var out, log bytes.Buffer
 	code := Main([]string{"dev", "--once", "--port", "70000"}, &out, &log)
--- a/internal/cli/entry.go
+++ b/internal/cli/entry.go
@@ -8,12 +8,12 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// entryCommand runs the daemon of an entry VM.
+// entryCommand runs the daemon of an entry VM: the VM that accepts jobs from callers.
 type entryCommand struct {
 	schema.EntrySettings
 }
 
-// Validate checks the settings, the files they name included.
+// Validate checks the settings and the credential files that they name.
 func (c *entryCommand) Validate() error {
 	if err := entry.CheckSettings(c.EntrySettings); err != nil {
 		return err
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -17,21 +17,21 @@
 	"github.com/lavendercleat/lavendercleat/internal/logging"
 )
 
-// explainCommand tells the story of one request from the logs of the daemons.
+// explainCommand prints the log lines about one request, from the logs of several daemons.
 type explainCommand struct {
-	ID   string   `arg:"" help:"Identifier of the job, or of the caller's request."`
-	Logs []string `arg:"" optional:"" help:"Log files of the daemons; without any, or for -, the standard input."`
+	ID   string   `arg:"" help:"Identifier of the job or of the caller's request."`
+	Logs []string `arg:"" optional:"" help:"Log files of the daemons. Without a file, or for -, the command reads the standard input."`
 }
 
 const (
-	// storyMargin is how far around the request's own lines those about its workers and
-	// peers are shown.
+	// contextMargin is the time before the request's first line and after its last one for which the
+	// command shows lines about the request's workers and about peers.
 	contextMargin = time.Second
-	// maxLogLine bounds a line; longer ones are skipped and counted.
+	// maxLogLineBytes is the largest length of a log line. The scanner stops with an error at a longer one.
 	maxLogLineBytes = 1 << 20
 )
 
-// logLine is one line of a log.
+// logLine is one parsed line of a daemon's log. source names the daemon.
 type logLine struct {
 	at     time.Time
 	source string
@@ -40,6 +40,7 @@
 
 type logField struct{ key, value string }
 
+// field returns the value of a key, or "" if the line does not have it.
 func (l *logLine) field(key string) string {
 	for _, f := range l.fields {
 		if f.key == key {
@@ -49,7 +50,7 @@
 	return ""
 }
 
-// Run prints the story.
+// Run prints the lines about the request in the order of their times, and lists the logs that are missing.
 func (c *explainCommand) Run(s *streams) error {
 	lines, skipped, err := c.readLogs(s.in)
 	if err != nil {
@@ -57,7 +58,7 @@
 	}
 	requestLog := requestLines(lines, c.ID)
 	if len(requestLog) == 0 {
-		return errors.Newf("no line names %q among the %d of %d logs: is the log of the daemon that took the request among them, and from that time?", c.ID, len(lines), max(len(c.Logs), 1))
+		return errors.Newf("no line names %q; read %d lines from %d logs: expected the log of the daemon that received the request, from the time of the request", c.ID, len(lines), max(len(c.Logs), 1))
 	}
 	shown := append(requestLog, contextLines(lines, requestLog)...)
 	slices.SortStableFunc(shown, func(a, b *logLine) int { return a.at.Compare(b.at) })
@@ -68,12 +69,12 @@
 		fmt.Fprintln(s.out, "missing:", m)
 	}
 	if skipped > 0 {
-		fmt.Fprintf(s.out, "skipped: %d lines that are not of a daemon's log\n", skipped)
+		fmt.Fprintf(s.out, "skipped: %d lines that are not in the format of a daemon's log\n", skipped)
 	}
 	return nil
 }
 
-// String returns a line of the story.
+// String formats the line for the output: time, source, event and the other fields.
 func (l *logLine) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %s", l.at.Format("15:04:05.000"), l.source, l.field("event"))
@@ -87,6 +88,7 @@
 	return b.String()
 }
 
+// readLogs reads all files and returns their lines and the number of lines that it can't parse.
 func (c *explainCommand) readLogs(in io.Reader) (lines []*logLine, skipped int, err error) {
 	names := c.Logs
 	if len(names) == 0 {
@@ -97,7 +99,7 @@
 		if name != "-" {
 			f, err := os.Open(name)
 			if err != nil {
-				return nil, 0, errors.Wrap(err, "opening a log")
+				return nil, 0, errors.Wrap(err, "opening a log file")
 			}
 			defer f.Close()
 			r = f
@@ -111,8 +113,8 @@
 	return lines, skipped, nil
 }
 
-// readLog reads one log. What stands before the first field, as collectors of logs put
-// there, names the source.
+// readLog parses one log. Log collectors put a prefix before the first field; if there is one, its
+// last word is the source. Otherwise the source is the given name.
 func readLog(r io.Reader, name string) (lines []*logLine, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLogLineBytes)
@@ -132,6 +134,7 @@
 	return lines, skipped, scanner.Err()
 }
 
+// parseLine parses a line in logfmt. It returns nil if the line is malformed or has no valid time.
 func parseLine(b []byte) *logLine {
 	d := logfmt.NewDecoder(bytes.NewReader(b))
 	if !d.ScanRecord() {
@@ -149,7 +152,7 @@
 	return l
 }
 
-// ownLines returns the lines that name the job, or the job of the request.
+// requestLines returns the lines that name the identifier or a job of the request with this identifier.
 func requestLines(lines []*logLine, id string) []*logLine {
 	jobs := map[string]bool{id: true}
 	for _, l := range lines {
@@ -166,7 +169,9 @@
 	return list
 }
 
-// around returns what the daemons believed of the workers, peers and store meanwhile.
+// contextLines returns the lines about the request's workers, about peers, the store, the configuration
+// and failure domains that daemons logged around the time of the request. They show the state on which
+// the daemons decided.
 func contextLines(lines, request []*logLine) []*logLine {
 	workers, sources := make(map[string]bool), make(map[string]bool)
 	from, to := request[0].at, request[0].at
@@ -198,7 +203,7 @@
 	return list
 }
 
-// missing says which parts of the story no log tells.
+// missingLogs lists the parts of the request for which no log has lines.
 func missingLogs(request, lines []*logLine) []string {
 	events, started := make(map[string]bool), make(map[string]bool)
 	for _, l := range request {
@@ -211,17 +216,17 @@
 	}
 	var list []string
 	if !events["job_arrived"] {
-		list = append(list, "the arrival: the log of the daemon that took the request, or its beginning")
+		list = append(list, "the arrival: the log of the daemon that received the request, or the start of that log")
 	}
 	if !events["job_answered"] {
-		list = append(list, "the answer: the daemon ended before it, the caller left, or its log is cut")
+		list = append(list, "the answer: the daemon stopped before it answered, the caller disconnected, or the log is truncated")
 	}
 	listed := make(map[string]bool)
 	for _, l := range request {
 		to, _, _ := strings.Cut(strings.TrimPrefix(l.field("detail"), "to="), " ")
 		if l.field("event") == "task_offered" && !started[to] && !listed[to] {
 			listed[to] = true
-			list = append(list, "the log of the daemon at "+to+", which was offered a task, or its start")
+			list = append(list, "the log of the daemon at "+to+", which was offered a task, or the start of that log")
 		}
 	}
 	return list
--- a/internal/cli/values.go
+++ b/internal/cli/flag_values.go
@@ -10,7 +10,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// valueMappers read the values whose own errors don't name what is accepted.
+// valueMappers parse addresses and durations. kong's own errors for these types do not name the
+// accepted values.
 func valueMappers() []kong.Option {
 	return []kong.Option{
 		kong.TypeMapper(reflect.TypeFor[netip.AddrPort](), kong.MapperFunc(decodeAddress)),
@@ -18,8 +19,8 @@
 	}
 }
 
-// mapAddress reads an IP:port. Names are refused: processes are known to each other
-// by IP numbers, and a resolver is one more thing that fails.
+// decodeAddress parses an IP:port. It refuses host names: processes know each other by IP address,
+// and a resolver would be one more component that can fail.
 func decodeAddress(c *kong.DecodeContext, target reflect.Value) error {
 	text, err := popString(c, "IP:port")
 	if err != nil {
@@ -33,7 +34,7 @@
 	return nil
 }
 
-// mapDuration reads a duration.
+// decodeDuration parses a duration such as 500ms.
 func decodeDuration(c *kong.DecodeContext, target reflect.Value) error {
 	text, err := popString(c, "duration")
 	if err != nil {
@@ -53,7 +54,7 @@
 	return text, err
 }
 
-// checkURL checks the URL of an interface of lavendercleat.
+// checkURL checks that a value is the base URL of one of lavendercleat's HTTP interfaces.
 func checkURL(flag, value string) error {
 	u, err := url.Parse(value)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" || u.RawQuery != "" || u.Fragment != "" || (u.Path != "" && u.Path != "/") {
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -16,17 +16,17 @@
 
 // loadCommand measures entries under load.
 type loadCommand struct {
-	Run        loadRunCommand        `cmd:"" default:"withargs" help:"Send jobs to running entries and report what their callers see."`
-	Experiment loadExperimentCommand `cmd:"" help:"Run entries, backend servers and platform in this process under a load and compare policies."`
-	Fleet      loadFleetCommand      `cmd:"" help:"Work out what the daemons of a large fleet hold, read and send at several sizes."`
+	Run        loadRunCommand        `cmd:"" default:"withargs" help:"Send jobs to running entries and report response times, refusals and failures."`
+	Experiment loadExperimentCommand `cmd:"" help:"Run entries, backend servers and the platform in this process under load, and compare scheduling policies."`
+	Fleet      loadFleetCommand      `cmd:"" help:"Estimate what the daemons of a large fleet hold, read and send, at several fleet sizes."`
 }
 
-// loadRunCommand sends a load to running entries.
+// loadRunCommand sends load to entries that are already running.
 type loadRunCommand struct {
 	schema.LoadSettings
 }
 
-// Validate checks the settings, the profile's file included.
+// Validate checks the flags and the profile's file.
 func (c *loadRunCommand) Validate() error {
 	for _, u := range c.Urls {
 		if err := checkURL("urls", u); err != nil {
@@ -45,7 +45,7 @@
 	return load.RemoteRun(c.LoadSettings, p, nil).Check()
 }
 
-// profile returns the profile of the file, or of the flags without one.
+// profile returns the profile from the file, or one built from the flags if no file is given.
 func (c *loadRunCommand) profile() (schema.LoadProfile, error) {
 	if c.Profile != "" {
 		return load.ReadProfile(c.Profile)
@@ -71,12 +71,12 @@
 	return load.WriteTable(s.out, []schema.LoadReport{r})
 }
 
-// loadExperimentCommand runs experiments.
+// loadExperimentCommand runs load experiments on a system in this process.
 type loadExperimentCommand struct {
 	schema.ExperimentSettings
 }
 
-// Validate checks the settings, the profile's file included.
+// Validate checks the flags and the profile's file.
 func (c *loadExperimentCommand) Validate() error {
 	if _, err := c.profile(); err != nil {
 		return err
@@ -84,7 +84,7 @@
 	return load.CheckExperiment(c.ExperimentSettings)
 }
 
-// profile returns the profile of the file, or today's mix of jobs without one.
+// profile returns the profile from the file, or the default profile if no file is given.
 func (c *loadExperimentCommand) profile() (schema.LoadProfile, error) {
 	if c.Profile != "" {
 		return load.ReadProfile(c.Profile)
@@ -117,13 +117,13 @@
 	return err
 }
 
-// loadFleetCommand works out a fleet at several sizes.
+// loadFleetCommand estimates the load of a fleet at several sizes.
 type loadFleetCommand struct {
-	File string `arg:"" help:"Fleet's profile, in JSON."`
+	File string `arg:"" help:"File with the fleet's profile, in JSON."`
 	JSON bool   `name:"json" help:"Print the reports as JSON."`
 }
 
-// Run prints a line for each size.
+// Run prints one line for each size.
 func (c *loadFleetCommand) Run(s *streams) error {
 	p, err := load.ReadFleetProfile(c.File)
 	if err != nil {
@@ -136,12 +136,12 @@
 	return load.WriteFleetTable(s.out, reports)
 }
 
-// untilSignal returns a context that ends with SIGINT or SIGTERM.
+// signalContext returns a context that SIGINT and SIGTERM cancel.
 func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// terminal returns w for progress if it is a terminal, else nil.
+// terminalOrNil returns w if it is a terminal, and nil otherwise. Progress is shown on terminals only.
 func terminalOrNil(w io.Writer) io.Writer {
 	if f, ok := w.(*os.File); ok && isatty.IsTerminal(f.Fd()) {
 		return w
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -22,29 +22,31 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// nodeCommand runs the daemon that serves jobs on the users' platform.
+// nodeCommand runs the daemon that serves jobs on the users' platform. The platform provides its
+// settings in a file.
 type nodeCommand struct {
 	schema.NodeSettings
 }
 
 const (
-	// heapShare is the part of the platform's memory limit at which garbage collection
-	// becomes eager; the rest is for what the Go heap doesn't count.
+	// heapShare is the part of the platform's memory limit above which the garbage collector runs more
+	// often. The rest is for memory that the Go heap does not count.
 	heapShare = 0.5
-	// frontHeaderTimeout and frontIdleTimeout bound what a caller's connection may hold.
+	// requestHeaderTimeout and connectionIdleTimeout limit how long a slow or idle caller may hold a
+	// connection.
 	requestHeaderTimeout  = 3 * time.Second
 	connectionIdleTimeout = 60 * time.Second
-	// logCloseTimeout bounds the writing of the last lines.
+	// logFlushTimeout is the time limit for writing the queued log lines at a stop.
 	logFlushTimeout = 100 * time.Millisecond
-	// closeTimeout bounds the wait for answers under way to be written at a stop.
+	// serverStopTimeout is how long a stop waits until the servers have written their current responses.
 	serverStopTimeout = 300 * time.Millisecond
-	// nodeStopMargin is added to the daemon's own limits for a planned stop.
+	// nodeStopMargin is the time that the daemon gets for its stop in addition to its own stop limits.
 	nodeStopMargin = 2 * time.Second
 )
 
 // Run runs the daemon until SIGTERM or SIGINT.
 func (c *nodeCommand) Run(s *streams, l *schema.LogSettings) error {
-	// First of all: without a handler the signal ends the process.
+	// Register the handler before anything else: without it, SIGHUP ends the process.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	settings, err := platform.ReadSettings(c.Settings)
@@ -55,7 +57,7 @@
 	if settings.MemoryLimit > 0 {
 		debug.SetMemoryLimit(int64(float64(settings.MemoryLimit) * heapShare))
 	}
-	logWriter := logging.NewAsyncWriter(s.out) // the platform collects the standard output
+	logWriter := logging.NewAsyncWriter(s.out) // the platform collects the log from the standard output
 	defer logWriter.Close(logFlushTimeout)
 	s = &streams{in: s.in, out: s.out, err: logWriter}
 	return runApp(newApp(s, l, c.StopDelay+c.StopTimeout+nodeStopMargin,
@@ -65,9 +67,9 @@
 	))
 }
 
-// reloadSettings reads the settings file again at SIGHUP and whenever it has changed, as
-// the platform doesn't always say so. New seeds are taken; what the process listens on
-// and talks to is fixed at its start.
+// reloadSettings reads the settings file again on SIGHUP and whenever the file has changed, because
+// the platform does not send the signal at every change. It adds new seed peers. Listen addresses and
+// the addresses of other systems stay as they were at the start of the process.
 func reloadSettings(lc fx.Lifecycle, c schema.NodeSettings, hup chan os.Signal, n *node.Node, log *logrus.Logger) {
 	ctx, cancel := context.WithCancel(context.Background())
 	modTime := func() time.Time {
@@ -92,7 +94,7 @@
 			lastModTime = modTime()
 			s, err := platform.ReadSettings(c.Settings)
 			if err != nil {
-				log.WithFields(logrus.Fields{"event": "settings_invalid", "error": err}).Error("the settings in force stay")
+				log.WithFields(logrus.Fields{"event": "settings_invalid", "error": err}).Error("settings file is invalid; keeping the previous settings")
 				continue
 			}
 			n.AddSeeds(s.SeedPeers)
@@ -105,9 +107,11 @@
 	})
 }
 
-// settingsCheck is the time between two looks at the settings file.
+// settingsPollInterval is the time between two checks of the settings file for changes.
 const settingsPollInterval = 2 * time.Second
 
+// newNode creates the daemon from the platform's settings and the command line, and adds a metric for
+// dropped log lines.
 func newNode(s platform.Settings, c schema.NodeSettings, log *logrus.Logger, logWriter *logging.AsyncWriter) (*node.Node, error) {
 	n, err := node.New(node.Config{
 		Name: s.Name, Domain: s.Domain, Cores: s.Cores, LinkMbps: s.LinkMbps, FirstStart: s.Bootstrap, Address: s.PeerAddress, Listen: c.PeerListen, Seeds: s.SeedPeers, FeedPort: s.RelayAddress.Port(),
@@ -121,20 +125,22 @@
 	return n, nil
 }
 
-// nodeServers are the HTTP servers of a daemon.
+// nodeServers are the HTTP servers of a daemon, with the address of each.
 type nodeServers struct {
 	servers   []*httpstop.Server
 	addresses []netip.AddrPort
 }
 
+// newNodeServers creates the servers for callers and readiness checks. It adds the servers for relayed
+// entries and metrics if their ports are set.
 func newNodeServers(s platform.Settings, c schema.NodeSettings, n *node.Node) *nodeServers {
 	gin.SetMode(gin.ReleaseMode)
 	engine := gin.New()
 	engine.NoRoute(func(c *gin.Context) {
-		// gin has set 404 for a path without a route; the handler decides.
+		// gin sets 404 for a path without a route. The handler sets the actual status.
 		c.Status(http.StatusOK)
 		if n.Stopping() {
-			c.Header("Connection", "close") // callers on open connections go elsewhere
+			c.Header("Connection", "close") // makes callers on open connections connect to another daemon
 		}
 		platform.NewCallerHandler(n).ServeHTTP(c.Writer, c.Request)
 	})
@@ -156,7 +162,7 @@
 	return servers
 }
 
-// metricsHandler serves the daemon's counters at /metrics.
+// metricsHandler serves the daemon's metrics at /metrics.
 func metricsHandler(n *node.Node) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -166,7 +172,7 @@
 	return mux
 }
 
-// start listens on all addresses.
+// start listens on all addresses and serves in the background.
 func (s *nodeServers) start(ctx context.Context) error {
 	for i, server := range s.servers {
 		var lc net.ListenConfig
@@ -179,7 +185,7 @@
 	return nil
 }
 
-// stop ends the servers once the requests in progress are answered.
+// stop stops the servers one after another. Each waits for the requests in progress.
 func (s *nodeServers) stop(ctx context.Context) error {
 	var first error
 	for _, server := range s.servers {
@@ -190,8 +196,8 @@
 	return first
 }
 
-// hookNode starts the daemon before its servers. At a stop the daemon serves on until
-// the balancer has noticed and its jobs are answered, then the servers end.
+// addNodeHooks starts the daemon before its servers. At a stop, the daemon keeps serving until the
+// balancer has removed it and its jobs are answered. Then the servers stop.
 func addNodeHooks(lc fx.Lifecycle, n *node.Node, servers *nodeServers) {
 	lc.Append(fx.Hook{OnStart: n.Start, OnStop: func(ctx context.Context) error {
 		n.Close()
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -14,18 +14,18 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// operatorTimeout bounds one call of the operator interface; a confirmation follows
-// up a lost reply for some seconds.
+// operatorTimeout is the time limit for one call of the operator interface. An entry may take some
+// seconds for a confirmation, because it checks the result when a reply of the platform was lost.
 const operatorTimeout = 30 * time.Second
 
-// operatorFlags say which entry to ask, and as whom.
+// operatorFlags name the entry to call and the operator's token.
 type operatorFlags struct {
 	URL   string `help:"URL of any entry's operator interface." env:"LAVENDERCLEAT_OPERATOR_URL" default:"http://127.0.0.1:7401"`
 	Token string `help:"The operator's token." env:"LAVENDERCLEAT_OPERATOR_TOKEN"`
 	JSON  bool   `help:"Print JSON instead of a table."`
 }
 
-// Validate checks the settings.
+// Validate checks the flags.
 func (f *operatorFlags) Validate() error {
 	if err := checkURL("url", f.URL); err != nil {
 		return err
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// call makes one call and decodes the reply into out. A reply that is not 200 is
-// decoded as an outcome and returned as an error.
+// call sends a request to the operator interface and decodes the response into out. It returns a
+// response with a status other than 200 as an error.
 func (f *operatorFlags) call(method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
@@ -56,12 +56,12 @@
 	req.Header.Set("Authorization", "Bearer "+f.Token)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "asking the entry")
+		return errors.Wrap(err, "calling the entry's operator interface")
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return errors.Wrap(err, "reading the entry's answer")
+		return errors.Wrap(err, "reading the entry's response")
 	}
 	if resp.StatusCode != http.StatusOK {
 		return parseOutcomeError(resp.Status, b)
@@ -73,12 +73,12 @@
 	return json.Unmarshal(b, out)
 }
 
-// notApplied is a plan that was not applied, as an error.
+// notAppliedError is the outcome of a plan that the entry did not apply.
 type notAppliedError struct {
 	schema.Outcome
 }
 
-// Error implements error.
+// Error returns the outcome, its reason and message, and the plans that were applied in the meantime.
 func (n *notAppliedError) Error() string {
 	text := n.Outcome.Outcome + " (" + n.Reason + "): " + n.Message
 	for _, h := range n.Moved {
@@ -87,20 +87,21 @@
 	return text
 }
 
+// parseOutcomeError returns the outcome in a response's body as an error.
 func parseOutcomeError(status string, body []byte) error {
 	var n notAppliedError
 	if err := json.Unmarshal(body, &n.Outcome); err != nil || n.Outcome.Outcome == "" {
-		return errors.Newf("the entry answered %s: %s", status, body)
+		return errors.Newf("expected status 200 or an outcome in JSON from the entry, got %s: %s", status, body)
 	}
 	return &n
 }
 
-// historyCommand lists the recent plans.
+// historyCommand lists the recently applied plans.
 type historyCommand struct {
 	operatorFlags
 }
 
-// Run prints the recent plans, newest last.
+// Run prints the recently applied plans, newest last.
 func (c *historyCommand) Run(s *streams) error {
 	var h schema.History
 	if err := c.call(http.MethodGet, "/v1/history", nil, &h); err != nil {
@@ -112,12 +113,12 @@
 	return printHistory(s.out, h)
 }
 
-// exportCommand prints the document in force.
+// exportCommand prints the configuration document in force.
 type exportCommand struct {
 	operatorFlags
 }
 
-// Run prints the document in JSON, as plan init accepts it.
+// Run prints the document in the JSON format that plan init accepts.
 func (c *exportCommand) Run(s *streams) error {
 	var b []byte
 	if err := c.call(http.MethodGet, "/v1/config", nil, &b); err != nil {
@@ -130,8 +131,8 @@
 // hashTokenCommand prints a token's hash.
 type hashTokenCommand struct{}
 
-// Run reads a token from the standard input, so that it doesn't show in the list of
-// processes, and prints the hash for token_sha256 or --operators.
+// Run reads a token and prints its hash, for token_sha256 and --operators. It reads the token from the
+// standard input, because arguments are visible in the list of processes.
 func (c *hashTokenCommand) Run(s *streams) error {
 	b, err := io.ReadAll(io.LimitReader(s.in, 4096))
 	if err != nil {
@@ -139,7 +140,7 @@
 	}
 	token := string(bytes.TrimSpace(b))
 	if token == "" {
-		return errors.New("the standard input holds no token")
+		return errors.New("expected a token on the standard input, got none")
 	}
 	_, err = io.WriteString(s.out, config.HashToken(token)+"\n")
 	return err
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -13,44 +13,46 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// maxShownPlan is the longest plan that is printed as an argument of confirm.
+// maxPlanArgumentBytes is the largest size of a plan that the plan command prints as an argument for
+// the confirm command.
 const maxPlanArgumentBytes = 4096
 
-// planCommand asks what an intent would change; nothing changes.
+// planCommand shows what an operation would change. It changes nothing; the confirm command applies
+// the plan.
 type planCommand struct {
 	operatorFlags
-	Force bool `help:"Go on although a kind or the whole fleet is left with nowhere to run."`
+	Force bool `help:"Allow the plan even if no worker remains for a kind or for the whole fleet."`
 
-	Drain     drainCommands         `cmd:"" help:"Stop new work on a worker or a rack."`
-	Undrain   undrainCommands       `cmd:"" help:"Resume work on a drained worker or rack."`
-	Retire    retireDomainIntent    `cmd:"" help:"Stop new work in a failure domain."`
-	Reinstate reinstateDomainIntent `cmd:"" help:"Take back a retired failure domain."`
+	Drain     drainCommands         `cmd:"" help:"Stop sending new tasks to a worker or a rack."`
+	Undrain   undrainCommands       `cmd:"" help:"Resume sending tasks to a drained worker or rack."`
+	Retire    retireDomainIntent    `cmd:"" help:"Stop sending new tasks to a failure domain."`
+	Reinstate reinstateDomainIntent `cmd:"" help:"Put a retired failure domain back into use."`
 	Hold      holdKindIntent        `cmd:"" help:"Refuse new jobs of a kind."`
 	Resume    resumeKindIntent      `cmd:"" help:"Accept new jobs of a held kind again."`
-	Limits    setLimitsIntent       `cmd:"" help:"Change limits of every request."`
+	Limits    setLimitsIntent       `cmd:"" help:"Change the limits that apply to every request."`
 	Kind      kindCommands          `cmd:"" help:"Change or remove a kind."`
 	Team      teamCommands          `cmd:"" help:"Change or remove a team."`
-	Init      initIntent            `cmd:"" help:"Write the first document from a file."`
-	Restore   restoreIntent         `cmd:"" help:"Write the document in force back to a platform that came back older."`
+	Init      initIntent            `cmd:"" help:"Write the first configuration document from a file."`
+	Restore   restoreIntent         `cmd:"" help:"Write the configuration in force back to a platform whose copy is older."`
 }
 
 type drainCommands struct {
-	Worker drainWorkerIntent `cmd:"" help:"Stop new work on one worker."`
-	Rack   drainRackIntent   `cmd:"" help:"Stop new work on all workers of a rack."`
+	Worker drainWorkerIntent `cmd:"" help:"Stop sending new tasks to one worker."`
+	Rack   drainRackIntent   `cmd:"" help:"Stop sending new tasks to all workers of a rack."`
 }
 
 type undrainCommands struct {
-	Worker undrainWorkerIntent `cmd:"" help:"Resume work on one worker."`
-	Rack   undrainRackIntent   `cmd:"" help:"Resume work on a rack."`
+	Worker undrainWorkerIntent `cmd:"" help:"Resume sending tasks to one worker."`
+	Rack   undrainRackIntent   `cmd:"" help:"Resume sending tasks to a rack."`
 }
 
 type kindCommands struct {
-	Set    setKindIntent    `cmd:"" help:"Make a kind or change its rules."`
+	Set    setKindIntent    `cmd:"" help:"Create a kind or change its rules."`
 	Remove removeKindIntent `cmd:"" help:"Remove a kind."`
 }
 
 type teamCommands struct {
-	Set    setTeamIntent    `cmd:"" help:"Make a team or change its quota, weight or token."`
+	Set    setTeamIntent    `cmd:"" help:"Create a team or change its quota, weight or token."`
 	Remove removeTeamIntent `cmd:"" help:"Remove a team."`
 }
 
@@ -59,7 +61,7 @@
 }
 
 type rackArg struct {
-	Rack string `arg:"" help:"The rack as domain/rack."`
+	Rack string `arg:"" help:"The rack, as domain/rack."`
 }
 
 type domainArg struct {
@@ -71,7 +73,7 @@
 }
 
 type settingsArg struct {
-	Settings []string `arg:"" help:"Fields to set as field=value; a wrong field gets the list of fields."`
+	Settings []string `arg:"" help:"Fields to set, as field=value. The error for an unknown field lists the fields."`
 }
 
 type (
@@ -100,77 +102,77 @@
 	}
 )
 
-// Run plans draining a worker.
+// Run plans to drain a worker.
 func (i *drainWorkerIntent) Run(p *planCommand, s *streams) error {
 	return p.requestPlan(s, schema.Intent{Action: string(config.DrainWorker), Target: i.Address})
 }
 
-// Run plans undraining a worker.
+// Run plans to undrain a worker.
 func (i *undrainWorkerIntent) Run(p *planCommand, s *streams) error {
 	return p.requestPlan(s, schema.Intent{Action: string(config.UndrainWorker), Target: i.Address})
 }
 
-// Run plans draining a rack.
+// Run plans to drain a rack.
 func (i *drainRackIntent) Run(p *planCommand, s *streams) error {
 	return p.requestPlan(s, schema.Intent{Action: string(config.DrainRack), Target: i.Rack})
 }
 
-// Run plans undraining a rack.
+// Run plans to undrain a rack.
 func (i *undrainRackIntent) Run(p *planCommand, s *streams) error {
 	return p.requestPlan(s, schema.Intent{Action: string(config.UndrainRack), Target: i.Rack})
 }
 
-// Run plans retiring a failure domain.
+// Run plans to retire a failure domain.
 func (i *retireDomainIntent) Run(p *planCommand, s *streams) error {
 	return p.requestPlan(s, schema.Intent{Action: string(config.RetireDomain), Target: i.Domain})
 }
 
-// Run plans reinstating a failure domain.
+// Run plans to reinstate a failure domain.
 func (i *reinstateDomainIntent) Run(p *planCommand, s *streams) error {
 	return p.requestPlan(s, schema.Intent{Action: string(config.ReinstateDomain), Target: i.Domain})
 }
 
-// Run plans a change of limits.
+// Run plans to change limits.
 func (i *setLimitsIntent) Run(p *planCommand, s *streams) error {
 	return p.requestPlan(s, schema.Intent{Action: string(config.SetLimits), Settings: i.Settings})
 }
 
-// Run plans a change of a kind.
+// Run plans to create or change a kind.
 func (i *setKindIntent) Run(p *planCommand, s *streams) error {
 	return p.requestPlan(s, schema.Intent{Action: string(config.SetKind), Target: i.Name, Settings: i.Settings})
 }
 
-// Run plans removing a kind.
+// Run plans to remove a kind.
 func (i *removeKindIntent) Run(p *planCommand, s *streams) error {
 	return p.requestPlan(s, schema.Intent{Action: string(config.RemoveKind), Target: i.Name})
 }
 
-// Run plans holding a kind.
+// Run plans to hold a kind.
 func (i *holdKindIntent) Run(p *planCommand, s *streams) error {
 	return p.requestPlan(s, schema.Intent{Action: string(config.HoldKind), Target: i.Name})
 }
 
-// Run plans resuming a kind.
+// Run plans to resume a kind.
 func (i *resumeKindIntent) Run(p *planCommand, s *streams) error {
 	return p.requestPlan(s, schema.Intent{Action: string(config.ResumeKind), Target: i.Name})
 }
 
-// Run plans a change of a team.
+// Run plans to create or change a team.
 func (i *setTeamIntent) Run(p *planCommand, s *streams) error {
 	return p.requestPlan(s, schema.Intent{Action: string(config.SetTeam), Target: i.Name, Settings: i.Settings})
 }
 
-// Run plans removing a team.
+// Run plans to remove a team.
 func (i *removeTeamIntent) Run(p *planCommand, s *streams) error {
 	return p.requestPlan(s, schema.Intent{Action: string(config.RemoveTeam), Target: i.Name})
 }
 
-// Run plans a restore.
+// Run plans to restore the configuration in force.
 func (i *restoreIntent) Run(p *planCommand, s *streams) error {
 	return p.requestPlan(s, schema.Intent{Action: string(config.Restore)})
 }
 
-// Run plans the first document.
+// Run plans to write the first configuration document.
 func (i *initIntent) Run(p *planCommand, s *streams) error {
 	b, err := os.ReadFile(i.File)
 	if err != nil {
@@ -179,7 +181,8 @@
 	return p.requestPlan(s, schema.Intent{Action: string(config.Init), Document: string(b)})
 }
 
-// send asks for the plan and prints it.
+// requestPlan requests the plan for an intent from an entry and prints it. It returns an error if the
+// entry would refuse to apply the plan.
 func (p *planCommand) requestPlan(s *streams, i schema.Intent) error {
 	i.Force = p.Force
 	var plan schema.Plan
@@ -193,27 +196,27 @@
 		return err
 	}
 	if plan.Refused != "" {
-		return errors.Newf("a confirmation would be refused: %s", plan.Refused)
+		return errors.Newf("confirming this plan would be refused: %s", plan.Refused)
 	}
 	return printConfirmCommand(s.out, plan)
 }
 
-// confirmCommand carries out a plan.
+// confirmCommand applies a plan.
 type confirmCommand struct {
 	operatorFlags
-	File string `type:"existingfile" help:"File with the plan as plan --json prints it; - for standard input."`
-	Plan string `arg:"" optional:"" help:"The plan, as plan prints it."`
+	File string `type:"existingfile" help:"File with the plan, as plan --json prints it; - for the standard input."`
+	Plan string `arg:"" optional:"" help:"The plan, as the plan command prints it."`
 }
 
-// Validate checks the settings.
+// Validate checks that the plan is given exactly once, and checks the operator flags.
 func (c *confirmCommand) Validate() error {
 	if (c.File == "") == (c.Plan == "") {
-		return errors.New("the plan is missing or there twice; accepted is an argument or --file")
+		return errors.New("expected exactly one of a plan as argument and --file; got none or both")
 	}
 	return c.operatorFlags.Validate()
 }
 
-// Run confirms the plan.
+// Run confirms the plan and prints the outcome.
 func (c *confirmCommand) Run(s *streams) error {
 	plan, err := c.readConfirmation(s.in)
 	if err != nil {
@@ -230,6 +233,7 @@
 	return err
 }
 
+// readConfirmation reads the plan from the argument, the file or the standard input.
 func (c *confirmCommand) readConfirmation(in io.Reader) (schema.Confirmation, error) {
 	var plan schema.Plan
 	if c.Plan != "" {
@@ -244,27 +248,28 @@
 		in = f
 	}
 	if err := json.NewDecoder(in).Decode(&plan); err != nil {
-		return schema.Confirmation{}, errors.Wrapf(err, "%s holds no plan in JSON", c.File)
+		return schema.Confirmation{}, errors.Wrapf(err, "reading %s: expected a plan in JSON", c.File)
 	}
 	return confirmationOf(plan), nil
 }
 
-// confirmation returns what a confirmation needs of a plan.
+// confirmationOf returns the part of a plan that its confirmation sends.
 func confirmationOf(p schema.Plan) schema.Confirmation {
 	return schema.Confirmation{Id: p.Id, BaseRevision: p.BaseRevision, Nonce: p.Nonce, Intent: p.Intent}
 }
 
-// encodePlan packs a plan into one argument.
+// encodeConfirmation encodes the confirmation of a plan as one command-line argument.
 func encodeConfirmation(p schema.Plan) (string, error) {
 	b, err := json.Marshal(confirmationOf(p))
 	return base64.RawURLEncoding.EncodeToString(b), err
 }
 
+// decodeConfirmation decodes an argument that encodeConfirmation returned.
 func decodeConfirmation(arg string) (schema.Confirmation, error) {
 	var c schema.Confirmation
 	b, err := base64.RawURLEncoding.DecodeString(arg)
 	if err == nil {
 		err = json.Unmarshal(b, &c)
 	}
-	return c, errors.Wrap(err, "the argument is not a whole plan; copy all of it")
+	return c, errors.Wrap(err, "the argument is not a complete plan; copy all of it")
 }
--- a/internal/cli/table.go
+++ b/internal/cli/print.go
@@ -10,10 +10,10 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// table returns a writer that aligns columns; Flush has to be called.
+// newTable returns a writer that aligns columns. The caller has to call Flush.
 func newTable(w io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(w, 0, 0, 2, ' ', 0) }
 
-// printPlan prints what would change and what follows.
+// printPlan prints the changes of a plan and their effects.
 func printPlan(w io.Writer, p schema.Plan) error {
 	t := newTable(w)
 	fmt.Fprintf(t, "plan %s: revision %d to %d\n\n", p.Id, p.BaseRevision, p.Revision)
@@ -29,30 +29,31 @@
 	return t.Flush()
 }
 
+// printEffects prints the effects of a plan on tasks, kinds and teams, and the plan's warnings.
 func printEffects(w io.Writer, e schema.Effects) {
-	fmt.Fprintf(w, "\nwork in flight: %d tasks run (%d on workers that get no new work; they are finished), %d wait\n", e.Running, e.RunningThere, e.Waiting)
+	fmt.Fprintf(w, "\ntasks in flight: %d running (%d of them on workers that get no new tasks; they run to their end), %d waiting\n", e.Running, e.RunningThere, e.Waiting)
 	if len(e.KindsWithoutWorkers) > 0 {
-		fmt.Fprintf(w, "kinds left with nowhere to run: %s\n", strings.Join(e.KindsWithoutWorkers, ", "))
+		fmt.Fprintf(w, "kinds left without workers: %s\n", strings.Join(e.KindsWithoutWorkers, ", "))
 	}
 	for _, t := range e.SqueezedTeams {
-		fmt.Fprintf(w, "team squeezed: %s starts %d tasks a second, quota %s to %s: %s\n", t.Team, t.StartsPerSecondNow, formatQuota(t.QuotaBefore), formatQuota(t.QuotaAfter), t.Why)
+		fmt.Fprintf(w, "team limited: %s starts %d tasks per second, quota %s -> %s: %s\n", t.Team, t.StartsPerSecondNow, formatQuota(t.QuotaBefore), formatQuota(t.QuotaAfter), t.Why)
 	}
 	for _, warning := range e.Warnings {
 		fmt.Fprintf(w, "warning: %s\n", warning)
 	}
 }
 
-// printConfirm prints how to confirm a plan.
+// printConfirmCommand prints the command that confirms a plan.
 func printConfirmCommand(w io.Writer, p schema.Plan) error {
 	arg, err := encodeConfirmation(p)
 	if err != nil {
 		return err
 	}
 	if len(arg) > maxPlanArgumentBytes {
-		_, err = fmt.Fprintln(w, "\nnothing has changed yet; the plan is too long for the command line: plan with --json > FILE and confirm with --file FILE")
+		_, err = fmt.Fprintln(w, "\nnothing has changed yet; the plan is too long for the command line: run plan with --json > FILE, then confirm with --file FILE")
 		return err
 	}
-	_, err = fmt.Fprintf(w, "\nnothing has changed yet; to carry it out:\nlavendercleat confirm %s\n", arg)
+	_, err = fmt.Fprintf(w, "\nnothing has changed yet; to apply the plan:\nlavendercleat confirm %s\n", arg)
 	return err
 }
 
@@ -63,6 +64,7 @@
 	return s
 }
 
+// formatChange formats a number before and after a plan.
 func formatChange(before, after int64) string {
 	if before == after {
 		return fmt.Sprint(before)
@@ -70,6 +72,7 @@
 	return fmt.Sprintf("%d -> %d", before, after)
 }
 
+// formatQuota formats a quota; 0 means that the team has none.
 func formatQuota(n int64) string {
 	if n == 0 {
 		return "none"
@@ -77,17 +80,17 @@
 	return fmt.Sprint(n)
 }
 
-// printStatus prints the entries, the one line of each with its alarms below.
+// printStatus prints one line for each entry, then the alarms of all entries.
 func printStatus(w io.Writer, f schema.FleetStatus) error {
 	t := newTable(w)
-	fmt.Fprintf(t, "revision %d in force on %d of %d entries; platform holds %d\n\n",
+	fmt.Fprintf(t, "revision %d in force on %d of %d entries; the platform has revision %d\n\n",
 		f.Revision, countCurrent(f), len(f.Entries)+len(f.Unreachable), f.PlatformRevision)
 	fmt.Fprintln(t, "ENTRY\tFAILURE DOMAIN\tREVISION\tRUNNING\tWAITING\tSLOTS\tREADY")
 	for _, e := range f.Entries {
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", e.Address, e.Domain, e.ConfigRevision, e.RunningTasks, e.WaitingTasks, e.Slots, formatReady(e))
 	}
 	for _, a := range f.Unreachable {
-		fmt.Fprintf(t, "%s\tnot reached\n", a)
+		fmt.Fprintf(t, "%s\tunreachable\n", a)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -100,7 +103,7 @@
 	return nil
 }
 
-// current counts the entries that have the highest revision in force.
+// countCurrent returns the number of entries on which the highest revision is in force.
 func countCurrent(f schema.FleetStatus) int {
 	n := 0
 	for _, e := range f.Entries {
@@ -118,7 +121,7 @@
 	return "no: " + e.NotReadyBecause
 }
 
-// printHistory prints the recent plans.
+// printHistory prints the recently applied plans.
 func printHistory(w io.Writer, h schema.History) error {
 	fmt.Fprintf(w, "revision %d in force\n", h.Revision)
 	for _, p := range h.Plans {
--- a/internal/cli/settings_test.go
+++ b/internal/cli/settings_test.go
@@ -12,7 +12,7 @@
 	"github.com/lavendercleat/lavendercleat/internal/peer"
 )
 
-// writeCredentials writes PEM files and returns their directory.
+// writeCredentials writes valid and invalid PEM files and returns their directory.
 func writeCredentials(t *testing.T) string {
 	t.Helper()
 	p, err := peer.Generate()
@@ -28,8 +28,8 @@
 	return dir
 }
 
-// Every wrong setting ends the command with exit code 2 before anything is done. The
-// error names the flag and what is accepted.
+// A command with an invalid setting runs anyway, or its error does not name the flag and the accepted
+// values. The exit code must be 2 and the standard output empty.
 func TestInvalidSettingIsRefusedBeforeStart(t *testing.T) {
 	dir := writeCredentials(t)
 	file := func(name string) string { return filepath.Join(dir, name) }
@@ -40,7 +40,7 @@
 	tests := []struct {
 		command []string
 		wrong   string
-		// want are texts of the error.
+		// want lists texts that the error must contain.
 		want []string
 	}{
 		{goodEntry, "--domain=", []string{"--domain", "letters"}},
@@ -147,7 +147,7 @@
 	}
 }
 
-// A setting from the environment is checked like a flag.
+// An invalid setting from the environment is accepted, because only flags are checked.
 func TestInvalidEnvironmentVariableIsRefused(t *testing.T) {
 	t.Setenv("LAVENDERCLEAT_RUN_TIME", "soon")
 	var out, log bytes.Buffer
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -16,10 +16,10 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// standinStopTimeout bounds the stop of a stand-in.
+// standinStopTimeout is the time limit for the stop of a stand-in.
 const standinStopTimeout = 15 * time.Second
 
-// standinCommand runs stand-ins.
+// standinCommand runs stand-ins of external systems, for tests.
 type standinCommand struct {
 	Platform platformCommand `cmd:"" help:"Run a stand-in of the platform's service."`
 	Backend  backendCommand  `cmd:"" help:"Run stand-ins of backend servers."`
@@ -38,12 +38,13 @@
 	return nil
 }
 
-// standinReady is the first line on a stand-in's standard output.
+// standinReady is the first line that a stand-in prints on the standard output: the addresses on
+// which it listens.
 type standinReady struct {
 	Addresses []netip.AddrPort `json:"addresses"`
 }
 
-// Run runs the stand-in until a signal.
+// Run serves the stand-in until a signal arrives.
 func (c *platformCommand) Run(s *streams, l *schema.LogSettings) error {
 	h := &http.Server{Handler: standinplatform.NewServer(), ReadHeaderTimeout: startTimeout}
 	start := func(context.Context) error {
@@ -66,7 +67,7 @@
 	schema.BackendSettings
 }
 
-// Bounds of the stand-in's settings.
+// Upper limits of the settings of backend stand-ins.
 const (
 	maxBackends    = 1000
 	maxSlots       = 10_000
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// Run runs the stand-ins until a signal.
+// Run serves the stand-ins until a signal arrives.
 func (c *backendCommand) Run(s *streams, l *schema.LogSettings) error {
 	var backends *standinbackend.Fleet
 	start := func(context.Context) (err error) {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -6,12 +6,12 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// statusCommand shows the state of all entries as one of them sees it.
+// statusCommand prints the state of all entries, as reported by the entry that it asks.
 type statusCommand struct {
 	operatorFlags
 }
 
-// Run prints the state.
+// Run requests the state and prints it as a table or as JSON.
 func (c *statusCommand) Run(s *streams) error {
 	var f schema.FleetStatus
 	if err := c.call(http.MethodGet, "/v1/status", nil, &f); err != nil {
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -13,18 +13,18 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// maxSubmitTimeout bounds --timeout.
+// maxSubmitTimeout is the longest accepted --timeout.
 const maxSubmitTimeout = time.Hour
 
-// submitCommand submits one job.
+// submitCommand submits one job and prints its answer.
 type submitCommand struct {
 	URL     string        `help:"URL of an entry's caller interface, or of the balancer." env:"LAVENDERCLEAT_URL" default:"http://127.0.0.1:7400"`
 	Token   string        `help:"Token of the caller's team." env:"LAVENDERCLEAT_TOKEN" required:""`
-	Timeout time.Duration `help:"Longest time to ask for the answer." default:"2m"`
-	File    string        `arg:"" type:"existingfile" help:"File with the job in JSON; - for standard input."`
+	Timeout time.Duration `help:"How long to wait for the answer, with retries." default:"2m"`
+	File    string        `arg:"" type:"existingfile" help:"File with the job in JSON; - for the standard input."`
 }
 
-// Validate checks the settings.
+// Validate checks the flags.
 func (c *submitCommand) Validate() error {
 	if c.Timeout <= 0 || c.Timeout > maxSubmitTimeout {
 		return errors.Newf("--timeout is %s; accepted are durations above 0s up to %s", c.Timeout, maxSubmitTimeout)
@@ -51,6 +51,7 @@
 	return printAnswer(s.out, r.Answer)
 }
 
+// readJob reads a job in JSON from a file, or from the standard input for -.
 func readJob(file string) (schema.Job, error) {
 	var j schema.Job
 	in := io.Reader(os.Stdin)
@@ -63,12 +64,12 @@
 		in = f
 	}
 	if err := json.NewDecoder(in).Decode(&j); err != nil {
-		return j, errors.Wrapf(err, "%s holds no job in JSON", file)
+		return j, errors.Wrapf(err, "reading %s: expected a job in JSON", file)
 	}
 	return j, nil
 }
 
-// printAnswer prints an answer and returns an error when it is a failure.
+// printAnswer prints an answer, and returns an error if the job failed.
 func printAnswer(w io.Writer, a schema.Answer) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
