--- a/internal/load/system.go
+++ b/internal/load/cluster.go
@@ -25,20 +25,21 @@
 const (
 	loadTeam  = "load"
 	loadToken = "load-token"
-	// workersPerRack of the systems that run today.
+	// workersPerRack is the number of workers in a rack of the users' systems.
 	workersPerRack = 8
-	// settleTimeout bounds the wait until all entries know each other.
+	// readyTimeout is the time limit for all entries to find each other and divide the slots.
 	readyTimeout = 15 * time.Second
-	// answerRetention is short: nobody asks for an answer again.
+	// answerRetention is short, because no caller requests an answer again.
 	answerRetention = "10s"
-	// notRead stands for the files of the credentials, which are made in memory.
+	// unusedFile is the value of required file settings. The credentials are generated in memory and
+	// these files are never read.
 	unusedFile = "none"
 )
 
 var freePort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// system is a whole system in this process: a stand-in platform, stand-in backend
-// servers and entries.
+// localCluster is a complete system in this process: a stand-in platform, stand-in backend servers and
+// entries.
 type localCluster struct {
 	settings schema.ExperimentSettings
 	platform *http.Server
@@ -48,7 +49,7 @@
 	alive    []bool
 }
 
-// startSystem starts everything and waits until every entry knows its peers.
+// startLocalCluster starts all parts and waits until the entries have divided the slots.
 func startLocalCluster(ctx context.Context, s schema.ExperimentSettings, p schema.LoadProfile, c sched.Config) (*localCluster, error) {
 	cluster := &localCluster{settings: s}
 	if err := cluster.start(ctx, p, c); err != nil {
@@ -76,7 +77,7 @@
 	return s.waitUntilReady(ctx)
 }
 
-// startPlatform starts the stand-in platform with the profile's kinds.
+// startPlatform starts the stand-in platform and writes a configuration with the profile's kinds.
 func (s *localCluster) startPlatform(ctx context.Context, server *standinplatform.Server, p schema.LoadProfile) error {
 	l, err := net.Listen("tcp", freePort.String())
 	if err != nil {
@@ -88,7 +89,7 @@
 	return entry.SeedConfig(ctx, s.url, configFor(p))
 }
 
-// document returns a configuration with the kinds of a profile.
+// configFor returns a configuration with the kinds of a profile.
 func configFor(p schema.LoadProfile) *schema.Config {
 	kinds := make(map[string]*schema.Kind)
 	for _, c := range p.Classes {
@@ -140,7 +141,7 @@
 
 func domainName(i, domains int32) string { return fmt.Sprintf("domain-%d", i%domains) }
 
-// entrySettings returns an entry's settings as its command line would give them.
+// entrySettings returns the settings that an entry would get from its command line.
 func (s *localCluster) entrySettings(domain string) (schema.EntrySettings, error) {
 	var c schema.EntrySettings
 	parser, err := kong.New(&c)
@@ -156,7 +157,7 @@
 	return c, err
 }
 
-// vms returns the list of the entries and workers.
+// vms returns the VM list with all entries and workers.
 func (s *localCluster) vms() []*schema.Vm {
 	var list []*schema.Vm
 	for i, e := range s.entries {
@@ -175,31 +176,31 @@
 	return list
 }
 
-// settle waits until the entries have divided all slots among themselves.
+// waitUntilReady waits until all entries are ready and have divided all slots among themselves.
 func (s *localCluster) waitUntilReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	want := uint32(s.settings.Workers * s.settings.Slots)
+	totalSlots := uint32(s.settings.Workers * s.settings.Slots)
 	for {
 		var slots uint32
 		ready := true
 		for _, e := range s.entries {
-			st := e.Status()
-			slots += st.GetSlots()
-			ready = ready && st.GetReady() && st.GetSlots() > 0
+			status := e.Status()
+			slots += status.GetSlots()
+			ready = ready && status.GetReady() && status.GetSlots() > 0
 		}
-		if ready && slots == want {
+		if ready && slots == totalSlots {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Newf("the entries did not settle: they hold %d of %d slots", slots, want)
+			return errors.Newf("the entries did not become ready within %s: they have %d slots, expected %d", readyTimeout, slots, totalSlots)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// urls returns the callers' URLs.
+// urls returns the URLs of the caller interfaces, or that of the first entry alone with --one-entry.
 func (s *localCluster) urls() []string {
 	var urls []string
 	for _, e := range s.entries {
@@ -211,7 +212,7 @@
 	return urls
 }
 
-// read implements source.
+// readCounters implements counterSource. It leaves out aborted entries.
 func (s *localCluster) readCounters(ctx context.Context) (counters, error) {
 	var reader httpCounters
 	for i, e := range s.entries {
@@ -226,10 +227,10 @@
 	return c, err
 }
 
-// kill breaks one entry off, as when its process dies.
+// abortEntry aborts one entry without a clean stop, as if its process were killed.
 func (s *localCluster) abortEntry(i int) {
 	s.alive[i] = false
-	_ = s.entries[i].Abort() // it is dead in any case
+	_ = s.entries[i].Abort() // on an error the entry is stopped all the same
 }
 
 func (s *localCluster) stop() error {
--- a/internal/load/counters.go
+++ b/internal/load/counters.go
@@ -18,20 +18,20 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// Names of the entries' counters.
+// Names of the entries' metrics, and values of their labels.
 const (
 	metricRetries  = "lavendercleat_retries_total"
 	metricMessages = "lavendercleat_peer_messages_total"
 	metricBorrows  = "lavendercleat_borrows_total"
-	// borrowNothing labels requests for slots that brought nothing.
+	// borrowEmpty labels requests for slots that got none.
 	borrowEmpty = "nothing"
-	// retryRefused and retryLeaving label retries after a worker's refusal, which the
-	// backend servers count as well.
+	// retryRefused and retryLeaving label retries after a worker refused a task. The backend servers
+	// count these refusals too.
 	retryRefused = "worker_refused"
 	retryLeaving = "worker_leaving"
 )
 
-// counters is the sum over all entries and backend servers.
+// counters are summed over all entries and backend servers.
 type counters struct {
 	retries  map[string]int64
 	messages map[string]int64
@@ -39,12 +39,12 @@
 	runs     standin.RunRecord
 }
 
-// source reads counters.
+// counterSource reads the counters of a system.
 type counterSource interface {
 	readCounters(ctx context.Context) (counters, error)
 }
 
-// remote reads counters over HTTP.
+// httpCounters reads counters over HTTP from the metrics and backend addresses.
 type httpCounters struct {
 	metrics  []string
 	backends []netip.AddrPort
@@ -60,11 +60,11 @@
 	for _, b := range r.backends {
 		body, err := fetch(ctx, "http://"+b.String()+"/admin/witness?totals=1")
 		if err != nil {
-			return c, errors.Wrapf(err, "asking backend server %s", b)
+			return c, errors.Wrapf(err, "reading the counters of backend server %s", b)
 		}
 		var w standin.RunRecord
 		if err := json.Unmarshal(body, &w); err != nil {
-			return c, errors.Wrapf(err, "asking backend server %s", b)
+			return c, errors.Wrapf(err, "decoding the counters of backend server %s", b)
 		}
 		c.addRunRecord(w)
 	}
@@ -75,6 +75,7 @@
 	return counters{retries: map[string]int64{}, messages: map[string]int64{}, borrows: map[string]int64{}}
 }
 
+// fetch returns the body of a GET request. A status other than 200 is an error.
 func fetch(ctx context.Context, url string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -86,12 +87,12 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.Newf("%s", resp.Status)
+		return nil, errors.Newf("expected status 200, got %s", resp.Status)
 	}
 	return io.ReadAll(resp.Body)
 }
 
-// addMetrics adds one entry's counters.
+// addMetrics adds the counters of one entry.
 func (c *counters) addMetrics(ctx context.Context, url string) error {
 	body, err := fetch(ctx, url)
 	if err != nil {
@@ -100,12 +101,12 @@
 	return c.parse(string(body))
 }
 
-// parse adds counters in the Prometheus text format.
+// parse adds the counters in a text in the Prometheus format.
 func (c *counters) parse(text string) error {
 	p := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := p.TextToMetricFamilies(strings.NewReader(text))
 	if err != nil {
-		return errors.Wrap(err, "metrics")
+		return errors.Wrap(err, "parsing metrics")
 	}
 	addByLabel(c.retries, families[metricRetries])
 	addByLabel(c.messages, families[metricMessages])
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// addLabeled adds a counter with one label.
+// addByLabel adds a counter with one label. The keys of the map are the label's values.
 func addByLabel(m map[string]int64, f *dto.MetricFamily) {
 	for _, x := range f.GetMetric() {
 		if len(x.GetLabel()) == 1 {
@@ -130,7 +131,7 @@
 	c.runs.BusyMS += w.BusyMS
 }
 
-// since returns what was added since before.
+// since returns the difference to earlier counters.
 func (c counters) since(before counters) counters {
 	diff := newCounters()
 	diff.retries = subtractCounts(c.retries, before.retries)
@@ -145,8 +146,8 @@
 	return diff
 }
 
-// difference subtracts; an entry that died takes its counters with it, so a negative
-// difference counts as none.
+// subtractCounts returns after minus before. The counters of an entry that died are missing in after, so a
+// negative difference counts as 0.
 func subtractCounts(after, before map[string]int64) map[string]int64 {
 	d := maps.Clone(after)
 	for k, n := range before {
@@ -156,7 +157,7 @@
 	return d
 }
 
-// waste returns the messages and the work without use.
+// waste returns the messages and run time that contributed to no complete job.
 func (c counters) waste(usefulSeconds float64) schema.LoadWaste {
 	w := schema.LoadWaste{
 		Starts:           c.runs.Starts,
@@ -167,7 +168,8 @@
 		PeerMessages:     sortedCounts(c.messages),
 		BusySeconds:      float64(c.runs.BusyMS) / 1000,
 	}
-	// A refusal is seen by both ends; it is one wasted exchange.
+	// The worker and the entry both count a refusal. It is one wasted exchange, so the larger count is
+	// taken.
 	wasted := max(w.RefusedByWorkers, c.retries[retryRefused]+c.retries[retryLeaving])
 	for reason, n := range c.retries {
 		if reason != retryRefused && reason != retryLeaving {
--- a/internal/load/doc.go
+++ b/internal/load/doc.go
@@ -1,6 +1,6 @@
-// Package load drives jobs at a set rate against entries and measures what their
-// callers see: response time over the ideal, refusals, failures and wasted messages.
+// Package load sends jobs to entries at a fixed mean rate and measures the results for the callers:
+// the response time relative to the ideal one, refusals, failures and wasted messages.
 //
-// The load is open: jobs are sent when they are due, whether or not earlier ones were
-// answered, so a slow system can't hide its delays by slowing its load.
+// The load is open: the package sends a job when it is due, whether or not earlier jobs are answered.
+// So a slow system can't hide its delays by slowing the load down.
 package load
--- a/internal/load/driver.go
+++ b/internal/load/driver.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	// unreachablePause is how long a URL that refused a connection gets no job, as a
-	// balancer would do.
+	// unreachablePause is how long a URL that refused a connection gets no job. A balancer would
+	// leave it out too.
 	unreachablePause = time.Second
-	// answerSlack is the time beyond its deadline for which a job's answer is awaited.
+	// answerGrace is how long after a job's deadline the caller still waits for its answer.
 	answerGrace = 10 * time.Second
-	// defaultWait is awaited when a job leaves the deadline to its kind.
+	// defaultAnswerTimeout is how long the caller waits for the answer to a job without a deadline. Its
+	// kind sets the deadline.
 	defaultAnswerTimeout = 2 * time.Minute
 )
 
-// driver sends jobs and records how they end.
+// driver sends jobs to the entries in turn and records their outcomes.
 type driver struct {
 	callers   []*caller
 	nextIndex atomic.Uint64
@@ -32,18 +33,18 @@
 	wg        sync.WaitGroup
 
 	mu sync.Mutex
-	// inFlight holds the jobs that can be canceled.
+	// inFlight is the set of jobs that can be canceled.
 	inFlight map[*pendingJob]struct{}
 }
 
-// caller sends jobs to one URL.
+// caller sends jobs to the URL of one entry.
 type caller struct {
 	client.Client
-	// pausedUntil is the Unix time in nanoseconds until which the URL gets no job.
+	// pausedUntil is the Unix time in nanoseconds until which the URL gets no jobs.
 	pausedUntil atomic.Int64
 }
 
-// flight is one job under way.
+// pendingJob is a job that was sent and is not yet answered.
 type pendingJob struct {
 	request
 	due        time.Time
@@ -51,12 +52,12 @@
 	cancelOnce sync.Once
 }
 
-// canceled ends the caller's interest in the answer.
-func (f *pendingJob) cancelJob() { f.cancelOnce.Do(func() { close(f.cancelCh) }) }
+// cancelJob cancels the job for its caller. Further calls do nothing.
+func (j *pendingJob) cancelJob() { j.cancelOnce.Do(func() { close(j.cancelCh) }) }
 
-func (f *pendingJob) isCanceled() bool {
+func (j *pendingJob) isCanceled() bool {
 	select {
-	case <-f.cancelCh:
+	case <-j.cancelCh:
 		return true
 	default:
 		return false
@@ -72,7 +73,7 @@
 	return d
 }
 
-// run sends jobs at a rate for some time and waits for their endings.
+// run sends jobs at a mean rate for the given time, then waits until all have ended.
 func (d *driver) run(ctx context.Context, g *generator, perSecond float64, length time.Duration) {
 	start := time.Now()
 	due := start
@@ -86,37 +87,37 @@
 	d.wg.Wait()
 }
 
-// sleepUntil waits for a time and tells whether it came.
+// sleepUntil waits for a time. It returns false if the context ends first.
 func sleepUntil(ctx context.Context, t time.Time) bool {
 	return clock.Sleep(ctx, time.Until(t))
 }
 
-// send sends one job without waiting for it. Its response time counts from when it
-// was due, so that a late sender doesn't make the system look faster.
+// send sends one job and does not wait for its answer. The response time counts from the time at which
+// the job was due. Otherwise a driver that sends late would make the system look faster.
 func (d *driver) send(ctx context.Context, r request, due time.Time) {
-	f := &pendingJob{request: r, due: due, cancelCh: make(chan struct{})}
+	j := &pendingJob{request: r, due: due, cancelCh: make(chan struct{})}
 	d.mu.Lock()
-	d.inFlight[f] = struct{}{}
+	d.inFlight[j] = struct{}{}
 	d.mu.Unlock()
-	d.recorder.recordSent(f)
+	d.recorder.recordSent(j)
 	d.wg.Go(func() {
-		d.sendAndRecord(ctx, f)
+		d.sendAndRecord(ctx, j)
 		d.mu.Lock()
-		delete(d.inFlight, f)
+		delete(d.inFlight, j)
 		d.mu.Unlock()
 	})
 }
 
-// cancelAll cancels every job under way.
+// cancelAll cancels every job in flight.
 func (d *driver) cancelAll() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for f := range d.inFlight {
-		f.cancelJob()
+	for j := range d.inFlight {
+		j.cancelJob()
 	}
 }
 
-// next returns the caller for the next job, passing over paused ones.
+// nextCaller returns the caller for the next job. It skips paused callers unless all are paused.
 func (d *driver) nextCaller() *caller {
 	now := time.Now().UnixNano()
 	for range d.callers {
@@ -128,30 +129,30 @@
 	return d.callers[d.nextIndex.Add(1)%uint64(len(d.callers))]
 }
 
-// fly sends a job and records its ending.
-func (d *driver) sendAndRecord(ctx context.Context, f *pendingJob) {
+// sendAndRecord sends a job, waits for its answer and records the outcome.
+func (d *driver) sendAndRecord(ctx context.Context, j *pendingJob) {
 	timeout := defaultAnswerTimeout
-	if f.job.DeadlineMs > 0 {
-		timeout = time.Duration(f.job.DeadlineMs)*time.Millisecond + answerGrace
+	if j.job.DeadlineMs > 0 {
+		timeout = time.Duration(j.job.DeadlineMs)*time.Millisecond + answerGrace
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	if f.cancelAfter > 0 {
-		t := time.AfterFunc(f.cancelAfter, f.cancelJob)
+	if j.cancelAfter > 0 {
+		t := time.AfterFunc(j.cancelAfter, j.cancelJob)
 		defer t.Stop()
 	}
 	c := d.nextCaller()
-	reply, err := c.submit(ctx, f)
+	reply, err := c.submit(ctx, j)
 	if isDialError(err) {
 		c.pausedUntil.Store(time.Now().Add(unreachablePause).UnixNano())
 	}
-	d.recorder.recordOutcome(f, reply, err)
+	d.recorder.recordOutcome(j, reply, err)
 }
 
-// submit sends a job and returns its answer.
-func (c *caller) submit(ctx context.Context, f *pendingJob) (client.Reply, error) {
-	if f.oneCall {
-		return c.oneCall(ctx, f)
+// submit sends a job, in one call or under a reserved identifier, and returns its answer.
+func (c *caller) submit(ctx context.Context, j *pendingJob) (client.Reply, error) {
+	if j.oneCall {
+		return c.oneCall(ctx, j)
 	}
 	ids, err := c.Reserve(ctx, 1)
 	if err != nil {
@@ -161,45 +162,45 @@
 	defer close(done)
 	go func() {
 		select {
-		case <-f.cancelCh:
-			_, _ = c.Delete(ctx, ids[0]) // the answer to PUT tells how it ended
+		case <-j.cancelCh:
+			_, _ = c.Delete(ctx, ids[0]) // the response to PUT has the outcome
 		case <-done:
 		}
 	}()
-	return c.Put(ctx, ids[0], f.job)
+	return c.Put(ctx, ids[0], j.job)
 }
 
-// oneCall sends a job in one call, which is canceled by hanging up.
-func (c *caller) oneCall(ctx context.Context, f *pendingJob) (client.Reply, error) {
+// oneCall sends a job in one call. Closing the connection cancels the job.
+func (c *caller) oneCall(ctx context.Context, j *pendingJob) (client.Reply, error) {
 	ctx, cancelCall := context.WithCancel(ctx)
 	defer cancelCall()
 	go func() {
 		select {
-		case <-f.cancelCh:
+		case <-j.cancelCh:
 			cancelCall()
 		case <-ctx.Done():
 		}
 	}()
-	return c.Do(ctx, f.job)
+	return c.Do(ctx, j.job)
 }
 
-// probes is the number of idle jobs by which round trips are measured.
+// probeCount is the number of jobs with which roundTrip measures the idle system.
 const probeCount = 30
 
-// roundTrip measures, on an idle system, the time that a job of one empty task takes:
-// what remains of the ideal beside the longest task.
+// roundTrip measures how long a job with one empty task takes on an idle system. The ideal response
+// time of a job is this time plus the run time of its longest task.
 func (d *driver) roundTrip(ctx context.Context, kind string, oneCall bool) (time.Duration, error) {
 	var times []time.Duration
 	for range probeCount {
-		f := &pendingJob{request: request{oneCall: oneCall}, cancelCh: make(chan struct{})}
-		f.job = schema.Job{Kind: kind, Tasks: []schema.Task{{Payload: runPayload(0)}}}
+		j := &pendingJob{request: request{oneCall: oneCall}, cancelCh: make(chan struct{})}
+		j.job = schema.Job{Kind: kind, Tasks: []schema.Task{{Payload: runPayload(0)}}}
 		start := time.Now()
-		reply, err := d.nextCaller().submit(ctx, f)
+		reply, err := d.nextCaller().submit(ctx, j)
 		if err != nil {
-			return 0, errors.Wrap(err, "probing the idle system")
+			return 0, errors.Wrap(err, "measuring the round trip on the idle system")
 		}
 		if reply.Outcome != client.Complete {
-			return 0, errors.Newf("probing the idle system: a job of kind %q failed: %s %s", kind, reply.Reason, reply.Message)
+			return 0, errors.Newf("measuring the round trip on the idle system: a job of kind %q failed: %s %s", kind, reply.Reason, reply.Message)
 		}
 		times = append(times, time.Since(start))
 	}
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -15,22 +15,22 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// Faults of an experiment.
+// Faults that an experiment can inject.
 const (
 	faultNone = "none"
-	// faultBlackHole makes one worker fail everything at once.
+	// faultBlackHole makes one worker fail every task immediately.
 	faultBlackHole = "black-hole"
-	// faultStraggler makes one worker several times slower.
+	// faultStraggler makes one worker slower by stragglerFactor.
 	faultStraggler = "straggler"
-	// faultCancelWave cancels every job under way.
+	// faultCancelWave cancels every job in flight.
 	faultCancelWave = "cancel-wave"
-	// faultEntryKilled kills one entry.
+	// faultEntryKilled aborts one entry.
 	faultEntryKilled = "entry-killed"
-	// stragglerFactor is how much slower a straggler is.
+	// stragglerFactor is the factor by which a straggler's run times grow.
 	stragglerFactor = 5
 )
 
-// CheckExperiment returns an error that names the flag and the accepted values.
+// CheckExperiment returns an error that names the invalid flag and the accepted values.
 func CheckExperiment(s schema.ExperimentSettings) error {
 	for _, b := range []struct {
 		flag      string
@@ -62,13 +62,13 @@
 		return errors.Newf("--deadline is %s; accepted are 0s and more", s.Deadline)
 	}
 	if s.Fault == faultEntryKilled && s.OneEntry {
-		return errors.New("--fault entry-killed with --one-entry leaves nothing to measure; give one of them")
+		return errors.New("--fault entry-killed with --one-entry aborts the only entry that gets jobs; set only one of them")
 	}
 	return nil
 }
 
-// RunExperiment runs every combination of load and policy and calls done with each
-// report, in order.
+// RunExperiment runs every combination of load and policy as often as the settings say, and calls done
+// with each report, in order.
 func RunExperiment(ctx context.Context, s schema.ExperimentSettings, p schema.LoadProfile, progress io.Writer, done func(schema.LoadReport) error) error {
 	if err := CheckExperiment(s); err != nil {
 		return err
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// withDeadline returns the profile with one deadline for all classes.
+// withDeadline returns the profile with the same deadline for all classes.
 func withDeadline(p schema.LoadProfile, d time.Duration) schema.LoadProfile {
 	p.Classes = slices.Clone(p.Classes)
 	for i := range p.Classes {
@@ -95,15 +95,15 @@
 	return p
 }
 
-// runPolicies runs one load under every policy, one after another or side by side.
-// Side by side the policies share the machine's good and bad moments.
+// runPolicies runs one load under every policy, one after another or concurrently. In concurrent runs,
+// other work on the machine affects all policies alike.
 func runPolicies(ctx context.Context, s schema.ExperimentSettings, p schema.LoadProfile, load float64, seed uint64, progress io.Writer, done func(schema.LoadReport) error) error {
 	reports := make([]schema.LoadReport, len(s.Policy))
 	var group errgroup.Group
 	if !s.SideBySide {
 		group.SetLimit(1)
 	} else if len(s.Policy) > 1 {
-		progress = nil // the lines would overwrite each other
+		progress = nil // concurrent runs would overwrite each other's progress line
 	}
 	for i, policy := range s.Policy {
 		group.Go(func() (err error) {
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// runExperiment starts a fresh system, runs one load and stops the system.
+// runExperiment starts a new local cluster, runs one load and stops the cluster.
 func runExperiment(ctx context.Context, s schema.ExperimentSettings, p schema.LoadProfile, load float64, policy string, seed uint64, progress io.Writer) (schema.LoadReport, error) {
 	c, err := schedulerConfig(policy)
 	if err != nil {
@@ -139,6 +139,7 @@
 	return report, errors.CombineErrors(err, cluster.stop())
 }
 
+// runName returns the name of a run in the report, such as "80% default straggler".
 func runName(s schema.ExperimentSettings, load float64, policy string) string {
 	name := fmt.Sprintf("%.0f%% %s", 100*load, policy)
 	if s.Fault != faultNone {
@@ -150,7 +151,7 @@
 	return name
 }
 
-// run returns the run of a load, given as a share of the system's slots.
+// newRun returns a run whose load is a share of the cluster's slots.
 func (s *localCluster) newRun(p schema.LoadProfile, load float64) Run {
 	slots := float64(s.settings.Workers * s.settings.Slots)
 	r := Run{
@@ -165,7 +166,7 @@
 	return r
 }
 
-// schedulerConfig returns the scheduler's settings under a policy.
+// schedulerConfig returns the scheduler's configuration for a policy.
 func schedulerConfig(policy string) (sched.Config, error) {
 	c := sched.DefaultConfig()
 	var err error
@@ -175,7 +176,7 @@
 	return c, nil
 }
 
-// inject causes a fault.
+// injectFault causes a fault in the running cluster.
 func (s *localCluster) injectFault(fault string, d *driver) {
 	switch fault {
 	case faultBlackHole:
--- a/internal/load/fleet.go
+++ b/internal/load/fleet.go
@@ -23,8 +23,8 @@
 	maxFleetWorkers = 40_000
 )
 
-// ReadFleetProfile reads a fleet's profile from a file. An error names the field and what is
-// accepted.
+// ReadFleetProfile reads a fleet's profile from a file. Its errors name the field and the accepted
+// values.
 func ReadFleetProfile(file string) (schema.FleetProfile, error) {
 	var p schema.FleetProfile
 	if err := readStrictJSON(file, "a fleet's profile", &p); err != nil {
@@ -49,12 +49,12 @@
 		return errors.Newf("domains is %d; accepted are 1 to 100", p.Domains)
 	}
 	if p.RenewalMs < 1 || p.EntryBytes < 1 || !(p.StoreMbps > 0) {
-		return errors.New("renewal_ms, entry_bytes and store_mbps have to be above 0")
+		return errors.Newf("renewal_ms, entry_bytes and store_mbps are %d, %d and %v; accepted are numbers above 0", p.RenewalMs, p.EntryBytes, p.StoreMbps)
 	}
 	sum := 0.0
 	for i, m := range p.Machines {
 		if !(m.Share > 0 && m.Cores > 0 && m.Mbps > 0) {
-			return errors.Newf("machines: share, cores and mbps of entry %d have to be above 0", i)
+			return errors.Newf("machines: share, cores and mbps of entry %d are %v, %v and %v; accepted are numbers above 0", i, m.Share, m.Cores, m.Mbps)
 		}
 		sum += m.Share
 	}
@@ -64,14 +64,14 @@
 	return nil
 }
 
-// plannedDaemon is a daemon of a fleet that is worked out.
+// modelDaemon is a daemon of the modelled fleet with the bandwidth of its link.
 type modelDaemon struct {
 	fleet.DaemonInfo
 	mbps float64
 }
 
-// EstimateFleet works out what the daemons of a fleet hold, read and send at each size, by the same
-// rules as they do: cells, readers, holders and the pace of heartbeats are the product's own.
+// EstimateFleet computes what the daemons of a fleet hold, read and send at each size of the profile.
+// It calls the code with which daemons choose cells, readers, holders and the heartbeat interval.
 func EstimateFleet(p schema.FleetProfile) (reports []schema.FleetReport) {
 	for _, n := range p.Daemons {
 		reports = append(reports, estimateSize(p, int(n)))
@@ -79,6 +79,7 @@
 	return reports
 }
 
+// estimateSize computes the report for a fleet of n daemons.
 func estimateSize(p schema.FleetProfile, n int) schema.FleetReport {
 	daemons, infos := modelDaemons(p, n)
 	workers := make([]executor.WorkerInfo, int(float64(n)*p.WorkersPerDaemon))
@@ -124,7 +125,7 @@
 	return r
 }
 
-// planReading works out what the reading of entries takes.
+// estimateReads computes the bandwidth and the time that daemons need to read the workers' entries.
 func estimateReads(r *schema.FleetReport, p schema.FleetProfile, narrowestMbps float64) {
 	const kilo, mega, bits = 1e3, 1e6, 8
 	entryBytes := float64(r.Workers) * float64(p.EntryBytes)
@@ -139,11 +140,11 @@
 	r.StartAllS = startMegabits * float64(r.Daemons) / p.StoreMbps
 }
 
-// plannedDaemons are daemons of all kinds of machines in all failure domains.
+// modelDaemons returns n daemons with all kinds of machines in all failure domains.
 func modelDaemons(p schema.FleetProfile, n int) (list []modelDaemon, infos []fleet.DaemonInfo) {
 	domains, machine, shareBefore := int(p.Domains), 0, 0.0
 	for i := range n {
-		// Kinds one after the other, so that each domain has its part of each.
+		// Each kind of machine is a consecutive range, so that every domain gets its part of it.
 		for machine < len(p.Machines)-1 && float64(i) >= (shareBefore+p.Machines[machine].Share)*float64(n) {
 			shareBefore += p.Machines[machine].Share
 			machine++
@@ -157,7 +158,7 @@
 	return list, infos
 }
 
-// holdings are the numbers of workers of those daemons of a cell that hold any.
+// workersPerHolder returns the number of workers of each daemon of a cell that holds any.
 func workersPerHolder(workers []executor.WorkerInfo, members []modelDaemon) (held []float64) {
 	var list []fleet.Member
 	for _, m := range members {
@@ -173,7 +174,8 @@
 	return held
 }
 
-// readersOf are those daemons of a cell that read for all.
+// selectReaders returns the daemons of a cell that read entries for all of its daemons. In a small
+// fleet every daemon reads for itself.
 func selectReaders(members []modelDaemon, manyCells bool) []registry.Relay {
 	var candidates []registry.Relay
 	for _, m := range members {
@@ -186,6 +188,7 @@
 	return slices.DeleteFunc(candidates, func(r registry.Relay) bool { return !slices.Contains(chosen, r.Process) })
 }
 
+// rangeOfValues returns the smallest value, the median and the largest value.
 func rangeOfValues(list []float64) schema.FleetRange {
 	if len(list) == 0 {
 		return schema.FleetRange{}
@@ -194,7 +197,7 @@
 	return schema.FleetRange{Least: list[0], Middle: list[len(list)/2], Most: list[len(list)-1]}
 }
 
-// WriteFleetTable writes reports of several sizes side by side, one line each.
+// WriteFleetTable writes the reports as a table with one line for each size.
 func WriteFleetTable(w io.Writer, reports []schema.FleetReport) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "daemons\tworkers\tcells\tcell's daemons\tcell's workers\tholders\theld\theartbeats/s\treaders\troots\troot KB/s\tof its link\tof store's link\tstart: store s\troot s\treaders s\tall s")
--- a/internal/load/fleet_test.go
+++ b/internal/load/fleet_test.go
@@ -11,7 +11,7 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// wholeFleet is a fleet in which one machine in ten is strong.
+// exampleFleet is a fleet in which about one machine in ten has many cores and a fast link.
 func exampleFleet(sizes ...int32) schema.FleetProfile {
 	return schema.FleetProfile{
 		Daemons: sizes, WorkersPerDaemon: 10.6, Domains: 5, RenewalMs: 1500, EntryBytes: 430, StoreMbps: 1000,
@@ -19,8 +19,8 @@
 	}
 }
 
-// What a daemon spends on its peers must not grow with the fleet, and at a start the store must
-// not be read by all: the sum of what all daemons read grows with the square of the fleet.
+// The cost of a daemon's peers grows with the size of the fleet, or all daemons read the store at their
+// start. The sum of what all daemons read grows with the square of the fleet's size.
 func TestDaemonAndStoreLoadAreBoundedInLargeFleet(t *testing.T) {
 	r := EstimateFleet(exampleFleet(50, 236, 1000))
 	assert.Equal(t, r[1].Cells, int32(16))
@@ -35,7 +35,7 @@
 	assert.Assert(t, r[1].StartStoreS < 0.5, "roots take %.2f s", r[1].StartStoreS)
 }
 
-// A profile with a wrong value is refused with the field's name and the accepted values.
+// The error for an invalid fleet profile does not name the field and the accepted values.
 func TestInvalidFleetProfileErrorNamesField(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.json")
 	good := `{"daemons":[20],"workers_per_daemon":4,"domains":2,"machines":[{"share":1,"cores":1,"mbps":100}],"renewal_ms":1500,"entry_bytes":400,"store_mbps":1000}`
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -10,20 +10,20 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// request is one job to be sent.
+// request is a job that the driver will send.
 type request struct {
 	// class is the index of the job's class in the profile.
 	class   int
 	job     schema.Job
 	oneCall bool
-	// longest and total are the longest and the summed run time of the tasks.
+	// longest is the longest run time of the tasks, and total the sum of their run times.
 	longest time.Duration
 	total   time.Duration
-	// cancelAfter is the time after which the caller cancels; 0 means never.
+	// cancelAfter is the time after which the caller cancels the job. With 0 it never cancels.
 	cancelAfter time.Duration
 }
 
-// generator draws jobs and the gaps between them. Equal seeds give equal loads.
+// generator generates random jobs and the intervals between them. Equal seeds give equal loads.
 type generator struct {
 	profile     schema.LoadProfile
 	rng         *rand.Rand
@@ -38,12 +38,13 @@
 	return g
 }
 
-// gap returns the time until the next job: callers come independently of each other.
+// nextInterval returns the time until the next job. The intervals are exponentially distributed, because
+// callers send jobs independently of each other.
 func (g *generator) nextInterval(perSecond float64) time.Duration {
 	return time.Duration(g.rng.ExpFloat64() / perSecond * float64(time.Second))
 }
 
-// next returns the next job.
+// nextRequest returns the next job. It picks a class by weight and draws the run times.
 func (g *generator) nextRequest() request {
 	i := g.pickClass()
 	c := g.profile.Classes[i]
@@ -64,12 +65,12 @@
 	return r
 }
 
-// runPayload tells a stand-in backend server how long to run.
+// runPayload returns a payload that sets the run time of a task on a stand-in backend server.
 func runPayload(ms int64) json.RawMessage {
 	return json.RawMessage(`{"run_ms":` + strconv.FormatInt(ms, 10) + `}`)
 }
 
-// pick chooses a class by weight.
+// pickClass returns the index of a class, chosen at random by weight.
 func (g *generator) pickClass() int {
 	x := g.rng.Float64() * g.totalWeight
 	for i, c := range g.profile.Classes {
@@ -80,7 +81,7 @@
 	return len(g.profile.Classes) - 1
 }
 
-// runTime draws the run time of a task in milliseconds.
+// drawRunTime draws the run time of a task in milliseconds.
 func (g *generator) drawRunTime(r schema.LoadRunTime) int64 {
 	if r.SlowShare > 0 && g.rng.Float64() < r.SlowShare {
 		return r.SlowMinMs + g.rng.Int64N(r.SlowMaxMs-r.SlowMinMs+1)
@@ -95,10 +96,10 @@
 	return r.MedianMs
 }
 
-// meanSamples is the number of jobs drawn to find a mean.
+// meanSamples is the number of samples from which the means are computed.
 const meanSamples = 20_000
 
-// meanWork returns the mean of a job's summed run times.
+// meanJobRunTime returns the mean over jobs of the summed run times of a job's tasks.
 func meanJobRunTime(p schema.LoadProfile) time.Duration {
 	g := newGenerator(p, 1)
 	var sum time.Duration
@@ -108,7 +109,7 @@
 	return sum / meanSamples
 }
 
-// meanRun returns the mean run time of one task of a class.
+// meanTaskRunTime returns the mean run time of one task of a class.
 func meanTaskRunTime(c schema.LoadClass) time.Duration {
 	g := newGenerator(schema.LoadProfile{Classes: []schema.LoadClass{c}}, 1)
 	var sum int64
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -13,8 +13,8 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// Equal seeds give the same jobs at the same times, so that policies are compared
-// under the same load.
+// Two runs with the same seed send different jobs or at different times, so a comparison of policies
+// compares different loads.
 func TestEqualSeedsGiveEqualJobs(t *testing.T) {
 	a, b := newGenerator(DefaultProfile(), 7), newGenerator(DefaultProfile(), 7)
 	other := newGenerator(DefaultProfile(), 8)
@@ -31,7 +31,7 @@
 	assert.Assert(t, !same)
 }
 
-// A profile with a wrong value is refused with the field's name and the accepted values.
+// The error for an invalid profile does not name the field and the accepted values.
 func TestInvalidProfileErrorNamesField(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "profile.json")
 	for text, want := range map[string]string{
@@ -48,7 +48,7 @@
 	}
 }
 
-// A refusal by a worker is seen by the worker and by the entry; it is counted once.
+// The worker and the entry both count a refusal, and the report counts one wasted exchange twice.
 func TestWorkerRefusalIsCountedOnce(t *testing.T) {
 	c := newCounters()
 	assert.NilError(t, c.parse(`lavendercleat_retries_total{reason="worker_refused"} 4
@@ -64,8 +64,8 @@
 	assert.Assert(t, w.UselessWork > 0.099 && w.UselessWork < 0.101)
 }
 
-// A light load on a small system: every job completes, each task runs once, and the
-// report adds up.
+// The report of a light load on a small system misses jobs, or counts more task starts than tasks. All
+// jobs must complete and each task must start once.
 func TestExperimentReportCountsEveryJobAndTask(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs a whole system")
--- a/internal/load/machine.go
+++ b/internal/load/machine.go
@@ -9,11 +9,11 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// saturatedAbove is the busy share of the machine above which waiting for a processor
-// is a part of the response times.
+// saturatedAbove is the busy share of the machine from which on the response times include
+// considerable waiting for a processor.
 const saturatedAbove = 0.7
 
-// usage is the processor time spent so far.
+// usage is the processor time used up to a point in time: by the machine in seconds, and by this process.
 type usage struct {
 	at      time.Time
 	busy    float64
@@ -21,8 +21,8 @@
 	process time.Duration
 }
 
-// readUsage reads the processor time of the machine and of this process. What can't
-// be read stays 0 and shows as an idle machine.
+// readUsage reads the processor time of the machine and of this process. Values that can't be read
+// remain 0, so the machine appears idle.
 func readUsage() usage {
 	u := usage{at: time.Now()}
 	if fs, err := procfs.NewDefaultFS(); err == nil {
@@ -40,7 +40,7 @@
 	return u
 }
 
-// since returns the load of the machine since before.
+// since returns the processor load between before and u.
 func (u usage) since(before usage) schema.LoadMachine {
 	m := schema.LoadMachine{ProcessCores: (u.process - before.process).Seconds() / u.at.Sub(before.at).Seconds()}
 	if total := u.total - before.total; total > 0 {
--- a/internal/load/table.go
+++ b/internal/load/output.go
@@ -11,24 +11,24 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// showProgress writes one line every second until the context ends.
+// showProgress rewrites one line of progress every second until the context ends.
 func showProgress(ctx context.Context, w io.Writer, name string, length time.Duration, r *recorder) {
-	t := time.NewTicker(time.Second)
-	defer t.Stop()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-t.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			fmt.Fprint(w, "\r\033[K")
 			return
 		}
-		running, s, p99 := r.progress()
+		running, soFar, p99 := r.progress()
 		fmt.Fprintf(w, "\r\033[K%s  %s of %s  running %d  complete %d  refused %d  failed %d  unanswered %d  p99 %.2f",
-			name, time.Since(r.start).Round(time.Second), length, running, s.Complete, s.Refused, s.Failed, s.Unanswered, p99)
+			name, time.Since(r.start).Round(time.Second), length, running, soFar.Complete, soFar.Refused, soFar.Failed, soFar.Unanswered, p99)
 	}
 }
 
-// WriteTable writes reports side by side, one line each, and below them the reasons.
+// WriteTable writes a table with one line for each report, and the details of each report below it.
 func WriteTable(w io.Writer, reports []schema.LoadReport) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "run\tjobs\tcomplete\trefused\tfailed\tcanceled\tno answer\tlate\tp50\tp95\tp99\tmax\twasted/task\tuseless work\tdoubled\tmachine busy")
@@ -48,16 +48,16 @@
 }
 
 func formatBusy(m schema.LoadMachine) string {
-	s := fmt.Sprintf("%.0f%%", 100*m.Busy)
+	text := fmt.Sprintf("%.0f%%", 100*m.Busy)
 	if m.Saturated {
-		s += " (too busy to be believed)"
+		text += " (saturated; response times are unreliable)"
 	}
-	return s
+	return text
 }
 
-// writeReasons writes the counters of one run that are not zero.
+// writeDetails writes the load of one run, its classes and the counters that are not zero.
 func writeDetails(w io.Writer, r schema.LoadReport) {
-	fmt.Fprintf(w, "%s: %.1f jobs/s, %d tasks, work for %.0f slots, idle round trip %.2f ms in one call, %.2f ms reserved, own processors %.1f",
+	fmt.Fprintf(w, "%s: %.1f jobs/s, %d tasks, load for %.0f slots, idle round trip %.2f ms in one call, %.2f ms with a reservation, %.1f cores used by this process",
 		r.Name, r.JobsPerSecond, r.Tasks, r.OfferedSlots, r.RoundTripOneCallMs, r.RoundTripReservedMs, r.Machine.ProcessCores)
 	for _, c := range r.Classes {
 		fmt.Fprintf(w, "; %s p50 %.2f p99 %.2f", c.Name, c.Ratio.P50, c.Ratio.P99)
@@ -74,7 +74,7 @@
 			fmt.Fprintf(w, "  %s: %s\n", l.name, joinCounts(l.list))
 		}
 	}
-	fmt.Fprintf(w, "  refused by workers: %d; requests for slots that brought nothing: %d; refusals told within %.0f ms (p99)\n",
+	fmt.Fprintf(w, "  refused by workers: %d; requests for slots that got none: %d; refusals answered within %.0f ms (p99)\n",
 		r.Waste.RefusedByWorkers, r.Waste.EmptyBorrows, r.RefusalMs.P99)
 }
 
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -12,22 +12,22 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// Distributions of run times.
+// Distributions of task run times.
 const (
 	distFixed     = "fixed"
 	distUniform   = "uniform"
 	distLognormal = "lognormal"
 )
 
-// Kinds of the default profile.
+// Kinds of jobs in the default profile.
 const (
 	kindQuote   = "loft-quote"
 	kindBooking = "crusher-booking"
 )
 
-// DefaultProfile returns the mix of jobs that the users run today: quotes of 1 to 40
-// tasks and single bookings, most tasks of 50 ms to a second, a few of several
-// seconds, and declared run times that are off by a factor of three either way.
+// DefaultProfile returns a load like that of the users' callers: quotes of 1 to 40 tasks and single
+// bookings. Most tasks run for 50 ms to a second, a few for several seconds. The declared run times are
+// wrong by a factor of three: too short for quotes and too long for bookings.
 func DefaultProfile() schema.LoadProfile {
 	run := schema.LoadRunTime{
 		Distribution: distLognormal, MinMs: 50, MedianMs: 200, MaxMs: 1000, Sigma: 0.7,
@@ -45,7 +45,7 @@
 	}}
 }
 
-// ReadProfile reads a profile from a file.
+// ReadProfile reads a load profile from a file and checks it.
 func ReadProfile(file string) (schema.LoadProfile, error) {
 	var p schema.LoadProfile
 	if err := readStrictJSON(file, "a load profile", &p); err != nil {
@@ -54,8 +54,8 @@
 	return p, errors.Wrapf(CheckProfile(p), "%s", file)
 }
 
-// readStrict reads a file of JSON in which every field has to be known; what it is to hold is
-// named in errors.
+// readStrictJSON decodes a JSON file into target. Unknown fields are errors. The errors use description
+// for the expected content.
 func readStrictJSON(file, description string, target any) error {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return errors.Wrapf(dec.Decode(target), "%s is not %s", file, description)
 }
 
-// ProfileFromSettings returns the profile of one class that the settings describe.
+// ProfileFromSettings returns a profile with one class that has the values of the settings.
 func ProfileFromSettings(s schema.LoadSettings) schema.LoadProfile {
 	return schema.LoadProfile{Classes: []schema.LoadClass{{
 		Name: s.Kind, Kind: s.Kind, Urgency: s.Urgency, Weight: 1,
@@ -79,7 +79,7 @@
 	}}}
 }
 
-// CheckProfile returns an error that names the field and the accepted values.
+// CheckProfile returns an error that names the invalid field and the accepted values.
 func CheckProfile(p schema.LoadProfile) error {
 	if len(p.Classes) == 0 {
 		return errors.New("classes is empty; give at least one")
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// maxRun returns the longest run time of a class.
+// maxTaskRunTime returns the longest run time of a task of a class.
 func maxTaskRunTime(c schema.LoadClass) time.Duration {
 	longest := max(c.RunTime.MaxMs, c.RunTime.MedianMs)
 	if c.RunTime.SlowShare > 0 {
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -17,22 +17,24 @@
 )
 
 const (
-	// ratioScale is the unit of the histograms of ratios: thousandths.
+	// ratioScale is the number of histogram units in a ratio of 1: ratios are stored in thousandths.
 	ratioScale = 1000
-	// maxRatio and maxResponse bound the histograms.
+	// maxRatio and maxResponse are the largest values of the histograms.
 	maxRatio    = 100_000
 	maxResponse = 10 * time.Minute
-	// digits is the precision of the histograms.
+	// significantDigits is the precision of the histograms.
 	significantDigits = 3
-	// maxWindows bounds the windows, one per second.
+	// maxWindows is the largest number of windows. A window covers one second.
 	maxWindows = 24 * 3600
 )
 
-// recorder adds up how jobs end. It leaves out those sent during the warm-up.
+// recorder counts the outcomes of jobs and records their response times. Jobs sent during the warm-up
+// are left out, except in usefulRunTime.
 type recorder struct {
 	start  time.Time
 	warmUp time.Duration
-	// roundTrip is the part of the ideal beside the longest task, by one call or not.
+	// roundTrip is the part of the ideal response time that is added to the run time of the longest
+	// task. The key tells whether the job is sent in one call.
 	roundTrip map[bool]time.Duration
 
 	mu            sync.Mutex
@@ -43,16 +45,16 @@
 	refusalTimes  *hdrhistogram.Histogram
 	classRatios   []*hdrhistogram.Histogram
 	windows       []window
-	// useful is the run time of the tasks of complete jobs.
+	// usefulRunTime is the run time of the tasks of all complete jobs.
 	usefulRunTime time.Duration
-	// offered is the run time of the tasks of all jobs sent.
+	// offeredRunTime is the run time of the tasks of all jobs sent after the warm-up.
 	offeredRunTime time.Duration
 	refusals       map[string]int64
 	failures       map[string]int64
 	errors         map[string]int64
 }
 
-// window is one second of the run.
+// window has the outcomes of the jobs that were due in one second of the run.
 type window struct {
 	complete, refused, failed int64
 	ratios                    *hdrhistogram.Histogram
@@ -80,43 +82,43 @@
 	return hdrhistogram.New(1, maxRatio*ratioScale, significantDigits)
 }
 
-// counts tells whether a job belongs into the figures.
-func (r *recorder) isMeasured(f *pendingJob) bool { return f.due.Sub(r.start) >= r.warmUp }
+// isMeasured reports whether a job was due after the warm-up and so counts in the report.
+func (r *recorder) isMeasured(j *pendingJob) bool { return j.due.Sub(r.start) >= r.warmUp }
 
-// sent counts a job that is sent.
-func (r *recorder) recordSent(f *pendingJob) {
+// recordSent counts a job that the driver sends.
+func (r *recorder) recordSent(j *pendingJob) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.jobsInFlight++
-	if r.isMeasured(f) {
+	if r.isMeasured(j) {
 		r.report.Jobs++
-		r.report.Tasks += int64(len(f.job.Tasks))
-		r.offeredRunTime += f.total
+		r.report.Tasks += int64(len(j.job.Tasks))
+		r.offeredRunTime += j.total
 	}
 }
 
-// ended records how a job ended.
-func (r *recorder) recordOutcome(f *pendingJob, reply client.Reply, err error) {
-	elapsed := time.Since(f.due)
+// recordOutcome records the outcome of a job.
+func (r *recorder) recordOutcome(j *pendingJob, reply client.Reply, err error) {
+	elapsed := time.Since(j.due)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.jobsInFlight--
 	if err == nil && reply.Outcome == client.Complete {
-		r.usefulRunTime += f.total // also in the warm-up, as the backend servers count it too
+		r.usefulRunTime += j.total // in the warm-up too, because the backend servers' counters include it
 	}
-	if !r.isMeasured(f) {
+	if !r.isMeasured(j) {
 		return
 	}
-	w := r.windowOf(f)
+	w := r.windowOf(j)
 	switch {
-	case f.isCanceled():
+	case j.isCanceled():
 		r.report.Canceled++
 	case err != nil:
 		r.report.Unanswered++
 		r.errors[errorReason(err)]++
 		w.failed++
 	case reply.Outcome == client.Complete:
-		r.recordComplete(f, elapsed, w)
+		r.recordComplete(j, elapsed, w)
 	case reply.Verdict == verdict.NotRun.String():
 		r.report.Refused++
 		r.refusals[reply.Reason]++
@@ -129,52 +131,53 @@
 	}
 }
 
-// complete records a complete job; called under the lock.
-func (r *recorder) recordComplete(f *pendingJob, elapsed time.Duration, w *window) {
+// recordComplete records a complete job. The caller holds the lock.
+func (r *recorder) recordComplete(j *pendingJob, elapsed time.Duration, w *window) {
 	r.report.Complete++
 	w.complete++
-	if f.job.DeadlineMs > 0 && elapsed > time.Duration(f.job.DeadlineMs)*time.Millisecond+r.roundTrip[f.oneCall] {
+	if j.job.DeadlineMs > 0 && elapsed > time.Duration(j.job.DeadlineMs)*time.Millisecond+r.roundTrip[j.oneCall] {
 		r.report.Late++
 	}
-	ideal := f.longest + r.roundTrip[f.oneCall]
+	ideal := j.longest + r.roundTrip[j.oneCall]
 	ratio := int64(float64(elapsed) / float64(ideal) * ratioScale)
-	for _, h := range []*hdrhistogram.Histogram{r.ratios, r.classRatios[f.class], w.ratios} {
+	for _, h := range []*hdrhistogram.Histogram{r.ratios, r.classRatios[j.class], w.ratios} {
 		_ = h.RecordValue(min(ratio, maxRatio*ratioScale))
 	}
 	_ = r.responseTimes.RecordValue(elapsed.Microseconds())
 }
 
-// window returns the window of the second in which the job was due.
-func (r *recorder) windowOf(f *pendingJob) *window {
-	second := min(int(f.due.Sub(r.start)/time.Second), maxWindows)
-	for len(r.windows) <= second {
+// windowOf returns the window of the second in which the job was due, and adds windows up to it. The
+// caller holds the lock.
+func (r *recorder) windowOf(j *pendingJob) *window {
+	index := min(int(j.due.Sub(r.start)/time.Second), maxWindows)
+	for len(r.windows) <= index {
 		r.windows = append(r.windows, window{ratios: hdrhistogram.New(1, maxRatio*ratioScale, 2)})
 	}
-	return &r.windows[second]
+	return &r.windows[index]
 }
 
-// state returns the number of jobs under way and the counts so far.
+// progress returns the number of jobs in flight, the counts so far and the 99th percentile of the ratio.
 func (r *recorder) progress() (running int, soFar schema.LoadReport, p99 float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.jobsInFlight, r.report, float64(r.ratios.ValueAtQuantile(99)) / ratioScale
 }
 
-// usefulWork returns the run time of the tasks of complete jobs.
+// totalUsefulRunTime returns the run time of the tasks of complete jobs.
 func (r *recorder) totalUsefulRunTime() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.usefulRunTime
 }
 
-// offeredWork returns the run time of the tasks of the jobs sent after the warm-up.
+// totalOfferedRunTime returns the run time of the tasks of the jobs sent after the warm-up.
 func (r *recorder) totalOfferedRunTime() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.offeredRunTime
 }
 
-// result returns the report.
+// buildReport returns the report of the jobs recorded so far.
 func (r *recorder) buildReport(p schema.LoadProfile) schema.LoadReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -201,13 +204,13 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// quantiles summarises a histogram whose unit is 1/scale.
+// quantiles summarises a histogram in which scale units are 1.
 func quantiles(h *hdrhistogram.Histogram, scale float64) schema.LoadQuantiles {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / scale }
 	return schema.LoadQuantiles{Count: h.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: float64(h.Max()) / scale}
 }
 
-// counts returns counters, the largest first.
+// sortedCounts returns the counts with their names, the largest first.
 func sortedCounts(m map[string]int64) []schema.LoadCount {
 	list := make([]schema.LoadCount, 0, len(m))
 	for name, n := range m {
@@ -219,7 +222,7 @@
 	return list
 }
 
-// errorName names the ways in which a caller can be left without an answer.
+// errorReason returns the reason for which a caller got no answer.
 func errorReason(err error) string {
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
@@ -230,7 +233,7 @@
 	return "connection_broke"
 }
 
-// unreachable tells whether no connection could be made.
+// isDialError reports whether no connection to the entry could be made.
 func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -10,28 +10,28 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// Run describes one run of a load.
+// Run describes one load run.
 type Run struct {
-	// Name of the run in the report.
+	// Name is the name of the run in the report.
 	Name    string
 	Profile schema.LoadProfile
-	// URLs of the caller interfaces, and the team's token.
+	// URLs are the URLs of the caller interfaces, and Token is the team's token.
 	URLs  []string
 	Token string
-	// JobsPerSecond is the mean rate.
+	// JobsPerSecond is the mean rate of jobs.
 	JobsPerSecond float64
 	Duration      time.Duration
 	WarmUp        time.Duration
 	Seed          uint64
-	// Progress is written to every second; nil for none.
+	// Progress gets a progress line every second. With nil no progress is written.
 	Progress io.Writer
-	// counters are read before and after.
+	// counters is read before and after the run.
 	counters counterSource
-	// fault is called once, a third into the duration; nil for none.
+	// injectFault is called once, after the warm-up and a third of the duration. It may be nil.
 	injectFault func(d *driver)
 }
 
-// RemoteRun returns the run of the settings against running entries.
+// RemoteRun returns a run with the given settings against entries that are already running.
 func RemoteRun(s schema.LoadSettings, p schema.LoadProfile, progress io.Writer) Run {
 	return Run{
 		Name: "load", Profile: p, URLs: s.Urls, Token: s.Token, JobsPerSecond: s.JobsPerSecond,
@@ -40,7 +40,7 @@
 	}
 }
 
-// Check returns an error that names the flag and the accepted values.
+// Check returns an error that names the invalid flag and the accepted values.
 func (r Run) Check() error {
 	switch {
 	case r.JobsPerSecond <= 0:
@@ -53,7 +53,7 @@
 	return CheckProfile(r.Profile)
 }
 
-// Do runs the load and returns its report.
+// Do sends the load and returns the report.
 func (r Run) Do(ctx context.Context) (schema.LoadReport, error) {
 	if err := r.Check(); err != nil {
 		return schema.LoadReport{}, err
@@ -83,7 +83,7 @@
 	return out, nil
 }
 
-// roundTrips measures the idle system, for the ways of sending that the profile uses.
+// measureRoundTrips measures round trips on the idle system, for each way of sending in the profile.
 func (r Run) measureRoundTrips(ctx context.Context) (map[bool]time.Duration, error) {
 	d := newDriver(r.URLs, r.Token, nil)
 	times := make(map[bool]time.Duration)
@@ -100,7 +100,7 @@
 	return times, nil
 }
 
-// drive sends the jobs, with progress and the fault at its time.
+// sendJobs sends the jobs, shows progress and injects the fault at its time.
 func (r Run) sendJobs(ctx context.Context, rec *recorder) {
 	d := newDriver(r.URLs, r.Token, rec)
 	ctx, cancel := context.WithCancel(ctx)
