--- a/cmd/lavendercleat/main.go
+++ b/cmd/lavendercleat/main.go
@@ -1,4 +1,5 @@
-// Command lavendercleat dispatches jobs of sub-second tasks to workers.
+// Command lavendercleat runs the dispatcher of jobs of sub-second tasks, and its operator and test
+// commands.
 package main
 
 import (
--- a/internal/logging/queue.go
+++ b/internal/logging/async_writer.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// queueLines bounds the lines that wait to be written, of each of the two ranks.
+	// maxQueuedLines is the largest number of lines in each of the two queues.
 	maxQueuedLines = 4096
-	// linesPerSecond and lineBurst bound the lines below a warning: at a full load of a
-	// daemon some 400 a second come, and a fault that repeats itself must not take the
-	// processor from callers.
+	// linesPerSecond and lineBurstSize limit the rate of lines below a warning. A daemon at full load
+	// logs about 400 lines a second. A recurring fault must not take processor time from callers.
 	linesPerSecond = 1000
 	lineBurstSize  = 4000
-	// batchBytes bounds one write; each is a system call.
+	// maxBatchBytes is the size from which on a batch gets no more lines. Each batch is one write, and so
+	// one system call.
 	maxBatchBytes = 32 << 10
 )
 
-// AsyncWriter is a writer that never holds its caller up: lines wait in bounded queues, and what
-// doesn't fit is left out and counted. Warnings and errors are kept before other lines.
+// AsyncWriter is a writer that never blocks its caller. Lines wait in bounded queues, and a goroutine
+// writes them. The writer drops lines that don't fit and counts them. Warnings and errors have a queue
+// of their own, which is written first, and no rate limit.
 type AsyncWriter struct {
 	w         io.Writer
 	high, low chan []byte
@@ -36,7 +37,7 @@
 	refilledAt time.Time
 }
 
-// NewAsyncWriter returns a queue that writes to w until it is closed.
+// NewAsyncWriter returns a writer that writes to w in the background until Close is called.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
 	q := &AsyncWriter{
 		w: w, high: make(chan []byte, maxQueuedLines), low: make(chan []byte, maxQueuedLines),
@@ -46,34 +47,34 @@
 	return q
 }
 
-// DroppedLines returns the number of lines that were left out so far.
+// DroppedLines returns the number of lines dropped so far.
 func (q *AsyncWriter) DroppedLines() int64 { return q.dropped.Load() }
 
-// Write queues one line. It never fails and never waits.
+// Write queues one line, or drops it. It never blocks and never returns an error.
 func (q *AsyncWriter) Write(p []byte) (int, error) {
-	queue := q.high
+	target := q.high
 	if isBelowWarning(p) {
-		queue = q.low
+		target = q.low
 		if !q.takeToken() {
 			q.dropped.Add(1)
 			return len(p), nil
 		}
 	}
 	select {
-	case queue <- bytes.Clone(p):
+	case target <- bytes.Clone(p):
 	default:
 		q.dropped.Add(1)
 	}
 	return len(p), nil
 }
 
-// isRoutine reports whether a line is below a warning.
+// isBelowWarning reports whether the level of a line is info or debug.
 func isBelowWarning(p []byte) bool {
 	head := p[:min(len(p), 80)]
 	return bytes.Contains(head, []byte("level=info")) || bytes.Contains(head, []byte("level=debug"))
 }
 
-// take takes a token for one line.
+// takeToken takes a token of the rate limit for one line. It returns false if there is none.
 func (q *AsyncWriter) takeToken() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -87,15 +88,17 @@
 	return true
 }
 
-// Close writes what waits, for at most the given time.
+// Close writes the queued lines and waits for this at most the given time.
 func (q *AsyncWriter) Close(timeout time.Duration) {
 	q.closeOnce.Do(func() { close(q.closing) })
 	select {
 	case <-q.done:
-	case <-time.After(timeout): // the reader of the output has stalled
+	case <-time.After(timeout): // the output accepts no data
 	}
 }
 
+// run writes the queued lines until Close is called. It adds a line with the number of dropped lines
+// after lines were dropped.
 func (q *AsyncWriter) run() {
 	defer close(q.done)
 	var reportedDrops int64
@@ -109,12 +112,12 @@
 			batch = fmt.Appendf(batch, "time=%q level=warning event=log_lines_left_out lines=%d\n", time.Now().Format(TimeFormat), n-reportedDrops)
 			reportedDrops = n
 		}
-		// An output that is gone is no reason to stop serving; lines are then lost.
+		// A daemon must keep serving if its log output has failed. It then loses the lines.
 		_, _ = q.w.Write(batch)
 	}
 }
 
-// next waits for a line; false when the queue is closed and empty.
+// nextLine waits for a line. It returns false if the writer is closed and its queues are empty.
 func (q *AsyncWriter) nextLine() ([]byte, bool) {
 	if line, ok := q.queuedLine(); ok {
 		return line, true
@@ -129,7 +132,7 @@
 	}
 }
 
-// ready returns a line that waits, one of a failure first.
+// queuedLine returns a queued line, and warnings and errors before others. It does not wait.
 func (q *AsyncWriter) queuedLine() ([]byte, bool) {
 	select {
 	case line := <-q.high:
@@ -144,14 +147,16 @@
 	}
 }
 
+// collectBatch appends queued lines to the first one until the batch is large enough or the queues are
+// empty.
 func (q *AsyncWriter) collectBatch(first []byte) []byte {
-	b := first
-	for len(b) < maxBatchBytes {
+	batch := first
+	for len(batch) < maxBatchBytes {
 		line, ok := q.queuedLine()
 		if !ok {
 			break
 		}
-		b = append(b, line...)
+		batch = append(batch, line...)
 	}
-	return b
+	return batch
 }
--- a/internal/logging/queue_test.go
+++ b/internal/logging/async_writer_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// stalled is an output that nobody reads.
+// blockedWriter is an output that accepts no data until unblock is closed.
 type blockedWriter struct{ unblock chan struct{} }
 
 func (s blockedWriter) Write(p []byte) (int, error) {
@@ -19,8 +19,8 @@
 	return len(p), nil
 }
 
-// The reader of the standard output stalls. Requests must not wait for it: lines are left
-// out and counted.
+// The reader of the standard output stops reading and requests wait for the log. Instead, the writer
+// must drop lines and count them.
 func TestBlockedOutputDoesNotBlockWrites(t *testing.T) {
 	s := blockedWriter{make(chan struct{})}
 	q := NewAsyncWriter(s)
@@ -34,6 +34,7 @@
 	close(s.unblock)
 }
 
+// syncBuffer is a buffer for concurrent use.
 type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -51,8 +52,8 @@
 	return b.b.String()
 }
 
-// A fault repeats itself thousands of times a second: routine lines are bounded and the
-// log says how many it left out; lines about failures are kept.
+// A fault recurs thousands of times a second and fills the log. The writer must limit the lines below a
+// warning, report the number of dropped lines, and keep the lines about errors.
 func TestRoutineLinesAreRateLimitedAndErrorsAreKept(t *testing.T) {
 	var out syncBuffer
 	q := NewAsyncWriter(&out)
--- a/internal/standin/backend/server_test.go
+++ b/internal/standin/backend/server_test.go
@@ -12,8 +12,8 @@
 	"github.com/lavendercleat/lavendercleat/internal/backend"
 )
 
-// Another test's probe comes to the port of a process that has ended, which the stand-in has
-// now. Counted as starts, a few of them would look like one task that was started repeatedly.
+// Another test sends a probe to the port of a process that has ended, and the stand-in has this port now.
+// If it counted a few probes as starts, they would look like one task that started repeatedly.
 func TestNonPostRequestIsNotCountedAsStart(t *testing.T) {
 	s := NewServer(8, time.Millisecond)
 	h := httptest.NewServer(s)
@@ -27,8 +27,8 @@
 	assert.Equal(t, s.Record().Starts, int64(0))
 }
 
-// An order that doesn't say which task it starts is a fault of its sender: the witness tells who
-// that was, and nothing is started.
+// A request without the identifier of its task starts something, or nobody can find its sender. The
+// record must describe the sender, and the request must start nothing.
 func TestRequestWithoutIdentifierIsRefusedAndRecorded(t *testing.T) {
 	s := NewServer(8, time.Millisecond)
 	h := httptest.NewServer(s)
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -16,30 +16,30 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// Faults that the stand-in can be told to show, by POST /admin/faults.
+// Faults are the faults that the stand-in injects into calls. POST /admin/faults sets them.
 type Faults struct {
-	// FailCalls answers every call with 500 and without an effect.
+	// FailCalls makes every call fail with status 500 and without an effect.
 	FailCalls bool `json:"down"`
-	// FailWrites does so for writes only.
+	// FailWrites makes PUT calls fail in the same way.
 	FailWrites bool `json:"down_writes"`
-	// DelayMS delays every answer.
+	// DelayMS delays every call by this number of milliseconds.
 	DelayMS int64 `json:"delay_ms"`
-	// DropWriteReplies lets this many writes take effect and breaks their connections
-	// before the reply.
+	// DropWriteReplies is the number of writes that take effect and whose connections are closed before
+	// the reply.
 	DropWriteReplies int `json:"lose_write_replies"`
-	// DropReplies carries out every call and breaks its connection before the reply.
+	// DropReplies makes every call take effect, and closes its connection before the reply.
 	DropReplies bool `json:"lose_replies"`
 }
 
-// Counts of calls, by GET /admin/counts, also of those that a fault broke off. A
-// waiting watch counts as one call.
+// Counts are the numbers of calls, including the calls that an injected fault interrupted. A watch counts
+// as one call for as long as it waits. GET /admin/counts returns them.
 type Counts struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
 	Watches int64 `json:"watches"`
 }
 
-// Server is the stand-in; it implements http.Handler.
+// Server is the stand-in of the platform's service. It implements http.Handler.
 type Server struct {
 	http.Handler
 	store   *store
@@ -75,7 +75,7 @@
 // SetVMs replaces the list of VMs.
 func (s *Server) SetVMs(vms []*schema.Vm) { s.vms.set(vms) }
 
-// fault shows the faults set before the call is carried out.
+// applyFaults injects the configured faults into a call.
 func (s *Server) applyFaults(c *gin.Context) {
 	s.mu.Lock()
 	f := s.faults
@@ -93,7 +93,7 @@
 	}
 }
 
-// lostWriter swallows a reply.
+// discardingWriter discards a reply.
 type discardingWriter struct{ gin.ResponseWriter }
 
 // Write implements io.Writer.
@@ -102,7 +102,7 @@
 // WriteHeaderNow implements gin.ResponseWriter.
 func (discardingWriter) WriteHeaderNow() {}
 
-// loseReply tells whether the reply of this write is to be lost.
+// shouldDropReply reports whether to drop the reply of this write, and counts it as dropped.
 func (s *Server) shouldDropReply() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,18 +113,20 @@
 	return true
 }
 
+// queryUint returns a number from the query, or 0 if it is missing or invalid.
 func queryUint(c *gin.Context, name string) uint64 {
 	n, _ := strconv.ParseUint(c.Query(name), 10, 64)
 	return n
 }
 
-// waitFor returns the channel that ends a watch's wait; a call that doesn't watch
-// gets a closed one.
+// watchParams returns the revision after which a watch waits for a change, and a channel that receives at
+// the end of its wait. For other calls the wait is 0.
 func watchParams(c *gin.Context) (after uint64, timeout <-chan time.Time) {
 	wait := time.Duration(queryUint(c, platform.ParamWait)) * time.Millisecond
 	return queryUint(c, platform.ParamAfter), time.After(wait)
 }
 
+// getKey returns a key's value. A watch waits until the revision differs from the given one.
 func (s *Server) getKey(c *gin.Context) {
 	watch := isWatch(c)
 	after, timeout := watchParams(c)
@@ -149,9 +151,10 @@
 	}
 }
 
+// isWatch reports whether a call is a watch: whether it gives a wait time.
 func isWatch(c *gin.Context) bool { return c.Query(platform.ParamWait) != "" }
 
-// count counts a call before anything can break it off.
+// countCall counts a call before an injected fault can interrupt it.
 func (s *Server) countCall(c *gin.Context) {
 	switch {
 	case c.Request.Method != http.MethodGet:
@@ -163,6 +166,7 @@
 	}
 }
 
+// putKey writes a key if its revision is the given one.
 func (s *Server) putKey(c *gin.Context) {
 	b, err := io.ReadAll(io.LimitReader(c.Request.Body, platform.MaxValueBytes+1))
 	if err != nil {
@@ -186,6 +190,7 @@
 	}
 }
 
+// getVMs returns the VM list. A watch waits until the version differs from the given one.
 func (s *Server) getVMs(c *gin.Context) {
 	watch := isWatch(c)
 	after, timeout := watchParams(c)
@@ -222,6 +227,7 @@
 	}
 }
 
+// setVMs replaces the VM list. With a version it sets the list at that version and without the lag.
 func (s *Server) setVMs(c *gin.Context) {
 	b, err := io.ReadAll(c.Request.Body)
 	if err != nil {
@@ -253,6 +259,7 @@
 	s.faults = f
 }
 
+// restoreKey overwrites a key with a value and its revision.
 func (s *Server) restoreKey(c *gin.Context) {
 	var v platform.Value
 	if err := c.BindJSON(&v); err != nil {
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -12,16 +12,16 @@
 // errLeaseExpired: the lease has expired or never existed.
 var errLeaseExpired = errors.New("lease expired")
 
-// store is the key-value store. Waiters are woken by closing changed.
+// store is the key-value store. It closes changed at each change to notify watches.
 type store struct {
 	mu      sync.Mutex
-	values  map[string]entry
+	values  map[string]storedValue
 	leases  map[uint64]lease
 	nextID  uint64
 	changed chan struct{}
 }
 
-type entry struct {
+type storedValue struct {
 	platform.Value
 	lease uint64
 }
@@ -32,10 +32,10 @@
 }
 
 func newStore() *store {
-	return &store{values: make(map[string]entry), leases: make(map[uint64]lease), changed: make(chan struct{})}
+	return &store{values: make(map[string]storedValue), leases: make(map[uint64]lease), changed: make(chan struct{})}
 }
 
-// expire drops the leases that ran out and their keys. Called under the lock.
+// dropExpired removes expired leases and their keys. The caller holds the lock.
 func (s *store) dropExpired(now time.Time) {
 	for id, l := range s.leases {
 		if now.Before(l.expires) {
@@ -51,21 +51,23 @@
 	}
 }
 
+// notifyWatchers notifies all waiting watches of a change. The caller holds the lock.
 func (s *store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// get returns a key's value and the channel that is closed at the next change.
+// get returns a key's value and a channel that the store closes at the next change.
 func (s *store) get(key string) (v platform.Value, found bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropExpired(time.Now())
-	e, found := s.values[key]
-	return e.Value, found, s.changed
+	stored, found := s.values[key]
+	return stored.Value, found, s.changed
 }
 
-// put writes a key if its revision is prev.
+// put writes a key if its revision is prev, and returns the new revision. With a lease, the key expires
+// with it.
 func (s *store) put(key string, prev uint64, value []byte, leaseID uint64) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,16 +78,16 @@
 	if _, ok := s.leases[leaseID]; leaseID != 0 && !ok {
 		return 0, errLeaseExpired
 	}
-	s.values[key] = entry{Value: platform.Value{Revision: prev + 1, Value: value}, lease: leaseID}
+	s.values[key] = storedValue{Value: platform.Value{Revision: prev + 1, Value: value}, lease: leaseID}
 	s.notifyWatchers()
 	return prev + 1, nil
 }
 
-// restore overwrites a key, as a store does that comes back from an old copy.
+// restore overwrites a key without a check, like a store that is restored from an old copy.
 func (s *store) restore(key string, v platform.Value) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.values[key] = entry{Value: v}
+	s.values[key] = storedValue{Value: v}
 	s.notifyWatchers()
 }
 
--- a/internal/standin/platform/vms.go
+++ b/internal/standin/platform/vm_list.go
@@ -9,7 +9,7 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// vmList is the list of VMs. What is set becomes visible after the lag.
+// vmList is the list of VMs. Changes become visible after the lag.
 type vmList struct {
 	mu      sync.Mutex
 	visible *schema.VmList
@@ -21,7 +21,7 @@
 	return &vmList{visible: &schema.VmList{Version: 1}, changed: make(chan struct{})}
 }
 
-// set replaces the list; readers see it after the lag.
+// set replaces the list. Readers see the new list after the lag.
 func (l *vmList) set(vms []*schema.Vm) {
 	l.mu.Lock()
 	lag := l.lag
@@ -33,21 +33,21 @@
 	time.AfterFunc(lag, func() { l.publish(vms) })
 }
 
+// publish makes a list visible with the next version.
 func (l *vmList) publish(vms []*schema.Vm) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.replace(l.visible.GetVersion()+1, vms)
 }
 
-// restore shows a list at any version, as a platform does that comes back from an
-// old copy.
+// restore makes a list visible with any version, like a platform that is restored from an old copy.
 func (l *vmList) restore(version uint64, vms []*schema.Vm) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.replace(version, vms)
 }
 
-// replace shows a list and wakes the watches. Called under the lock.
+// replace makes a list visible and notifies all watches. The caller holds the lock.
 func (l *vmList) replace(version uint64, vms []*schema.Vm) {
 	l.visible = &schema.VmList{Version: version, Vms: vms}
 	close(l.changed)
@@ -60,7 +60,7 @@
 	l.lag = lag
 }
 
-// get returns the encoded list, its version and the channel closed at the next change.
+// get returns the encoded list, its version and a channel that is closed at the next change.
 func (l *vmList) get() (b []byte, version uint64, changed <-chan struct{}, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
