--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -108,6 +108,7 @@
 	return nil
 }
 
+// stopDev stops the application within its time limit.
 func stopDev(app *fx.App) error {
 	ctx, cancel := context.WithTimeout(context.Background(), app.StopTimeout())
 	defer cancel()
@@ -128,9 +129,9 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &http.Server{Handler: server, ReadHeaderTimeout: startTimeout}
-	go h.Serve(l)
-	lc.Append(fx.Hook{OnStop: func(context.Context) error { return h.Close() }})
+	httpServer := &http.Server{Handler: server, ReadHeaderTimeout: startTimeout}
+	go httpServer.Serve(l)
+	lc.Append(fx.Hook{OnStop: func(context.Context) error { return httpServer.Close() }})
 	p := &devPlatform{url: httpURL(l.Addr().(*net.TCPAddr).AddrPort())}
 	return p, entry.SeedConfig(context.Background(), p.url, sampleConfig())
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -33,11 +33,12 @@
 
 // logLine is one parsed line of a daemon's log. source names the daemon.
 type logLine struct {
-	at     time.Time
+	time   time.Time
 	source string
 	fields []logField
 }
 
+// logField is one key=value pair of a log line.
 type logField struct{ key, value string }
 
 // field returns the value of a key, or "" if the line does not have it.
@@ -61,7 +62,7 @@
 		return errors.Newf("no line names %q; read %d lines from %d logs: expected the log of the daemon that received the request, from the time of the request", c.ID, len(lines), max(len(c.Logs), 1))
 	}
 	shown := append(requestLog, contextLines(lines, requestLog)...)
-	slices.SortStableFunc(shown, func(a, b *logLine) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(shown, func(a, b *logLine) int { return a.time.Compare(b.time) })
 	for _, l := range shown {
 		fmt.Fprintln(s.out, l)
 	}
@@ -77,7 +78,7 @@
 // String formats the line for the output: time, source, event and the other fields.
 func (l *logLine) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s %s", l.at.Format("15:04:05.000"), l.source, l.field("event"))
+	fmt.Fprintf(&b, "%s %s %s", l.time.Format("15:04:05.000"), l.source, l.field("event"))
 	for _, f := range l.fields {
 		switch f.key {
 		case "time", "level", "event":
@@ -148,7 +149,7 @@
 	if err != nil || d.Err() != nil {
 		return nil
 	}
-	l.at = at
+	l.time = at
 	return l
 }
 
@@ -174,13 +175,13 @@
 // the daemons decided.
 func contextLines(lines, request []*logLine) []*logLine {
 	workers, sources := make(map[string]bool), make(map[string]bool)
-	from, to := request[0].at, request[0].at
+	from, to := request[0].time, request[0].time
 	for _, l := range request {
-		if l.at.Before(from) {
-			from = l.at
+		if l.time.Before(from) {
+			from = l.time
 		}
-		if l.at.After(to) {
-			to = l.at
+		if l.time.After(to) {
+			to = l.time
 		}
 		if w := l.field("worker"); w != "" {
 			workers[w] = true
@@ -190,7 +191,7 @@
 	from, to = from.Add(-contextMargin), to.Add(contextMargin)
 	var list []*logLine
 	for _, l := range lines {
-		if l.field("job") != "" || l.at.Before(from) || l.at.After(to) {
+		if l.field("job") != "" || l.time.Before(from) || l.time.After(to) {
 			continue
 		}
 		isDaemonEvent := l.field("peer") != "" || strings.HasPrefix(l.field("event"), "store_") || strings.HasPrefix(l.field("event"), "configuration_") ||
--- a/internal/cli/flag_values.go
+++ b/internal/cli/flag_values.go
@@ -48,6 +48,7 @@
 	return nil
 }
 
+// popString takes the next value from the command line. typeName names the expected type in kong's errors.
 func popString(c *kong.DecodeContext, typeName string) (string, error) {
 	var text string
 	err := c.Scan.PopValueInto(typeName, &text)
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -36,46 +36,56 @@
 	Restore   restoreIntent         `cmd:"" help:"Write the configuration in force back to a platform whose copy is older."`
 }
 
+// drainCommands are the commands that drain workers.
 type drainCommands struct {
 	Worker drainWorkerIntent `cmd:"" help:"Stop sending new tasks to one worker."`
 	Rack   drainRackIntent   `cmd:"" help:"Stop sending new tasks to all workers of a rack."`
 }
 
+// undrainCommands are the commands that undo a drain.
 type undrainCommands struct {
 	Worker undrainWorkerIntent `cmd:"" help:"Resume sending tasks to one worker."`
 	Rack   undrainRackIntent   `cmd:"" help:"Resume sending tasks to a rack."`
 }
 
+// kindCommands are the commands that change kinds.
 type kindCommands struct {
 	Set    setKindIntent    `cmd:"" help:"Create a kind or change its rules."`
 	Remove removeKindIntent `cmd:"" help:"Remove a kind."`
 }
 
+// teamCommands are the commands that change teams.
 type teamCommands struct {
 	Set    setTeamIntent    `cmd:"" help:"Create a team or change its quota, weight or token."`
 	Remove removeTeamIntent `cmd:"" help:"Remove a team."`
 }
 
+// workerArg is the argument of the intents for one worker.
 type workerArg struct {
 	Address string `arg:"" help:"The worker's address (IP:port) as in the VM list."`
 }
 
+// rackArg is the argument of the intents for one rack.
 type rackArg struct {
 	Rack string `arg:"" help:"The rack, as domain/rack."`
 }
 
+// domainArg is the argument of the intents for a failure domain.
 type domainArg struct {
 	Domain string `arg:"" help:"The failure domain."`
 }
 
+// nameArg is the name of a kind or a team.
 type nameArg struct {
 	Name string `arg:"" help:"The name."`
 }
 
+// settingsArg are the fields to change.
 type settingsArg struct {
 	Settings []string `arg:"" help:"Fields to set, as field=value. The error for an unknown field lists the fields."`
 }
 
+// The intents, each with its arguments.
 type (
 	drainWorkerIntent     struct{ workerArg }
 	undrainWorkerIntent   struct{ workerArg }
--- a/internal/cli/print.go
+++ b/internal/cli/print.go
@@ -57,6 +57,7 @@
 	return err
 }
 
+// orDash returns s, or "-" if s is empty.
 func orDash(s string) string {
 	if s == "" {
 		return "-"
@@ -114,6 +115,7 @@
 	return n
 }
 
+// formatReady returns "yes", or "no" with the reason.
 func formatReady(e schema.EntryStatus) string {
 	if e.Ready {
 		return "yes"
@@ -132,7 +134,8 @@
 	return nil
 }
 
+// formatHistoryEntry formats an applied plan as one line, with its time in UTC.
 func formatHistoryEntry(h schema.HistoryEntry) string {
-	at := time.UnixMilli(h.ConfirmedUnixMs).UTC().Format(time.RFC3339)
-	return fmt.Sprintf("revision %d  %s  %s  %s  (plan %s)", h.Revision, at, h.Operator, h.Intent, h.Plan)
+	confirmedAt := time.UnixMilli(h.ConfirmedUnixMs).UTC().Format(time.RFC3339)
+	return fmt.Sprintf("revision %d  %s  %s  %s  (plan %s)", h.Revision, confirmedAt, h.Operator, h.Intent, h.Plan)
 }
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -46,17 +46,17 @@
 
 // Run serves the stand-in until a signal arrives.
 func (c *platformCommand) Run(s *streams, l *schema.LogSettings) error {
-	h := &http.Server{Handler: standinplatform.NewServer(), ReadHeaderTimeout: startTimeout}
+	server := &http.Server{Handler: standinplatform.NewServer(), ReadHeaderTimeout: startTimeout}
 	start := func(context.Context) error {
 		listener, err := net.Listen("tcp", c.Address.String())
 		if err != nil {
 			return err
 		}
-		go h.Serve(listener)
-		at := listener.Addr().(*net.TCPAddr).AddrPort()
-		return printJSON(s.out, standinReady{Addresses: []netip.AddrPort{at}})
+		go server.Serve(listener)
+		address := listener.Addr().(*net.TCPAddr).AddrPort()
+		return printJSON(s.out, standinReady{Addresses: []netip.AddrPort{address}})
 	}
-	stop := func(context.Context) error { return h.Close() }
+	stop := func(context.Context) error { return server.Close() }
 	return runApp(newApp(s, l, standinStopTimeout, fx.Invoke(func(lc fx.Lifecycle) {
 		lc.Append(fx.Hook{OnStart: start, OnStop: stop})
 	})))
--- a/internal/load/cluster.go
+++ b/internal/load/cluster.go
@@ -36,6 +36,7 @@
 	unusedFile = "none"
 )
 
+// freePort makes a server listen on a free port.
 var freePort = netip.MustParseAddrPort("127.0.0.1:0")
 
 // localCluster is a complete system in this process: a stand-in platform, stand-in backend servers and
@@ -58,6 +59,8 @@
 	return cluster, nil
 }
 
+// start starts the backend servers, the platform and the entries. The VM list is set last, because it
+// contains the addresses of the entries.
 func (s *localCluster) start(ctx context.Context, p schema.LoadProfile, c sched.Config) error {
 	var err error
 	s.fleet, err = standinbackend.Listen(schema.BackendSettings{
@@ -110,6 +113,7 @@
 	}
 }
 
+// startEntries starts the entries with credentials generated in memory, and adds them to the cluster.
 func (s *localCluster) startEntries(ctx context.Context, c sched.Config) error {
 	pem, err := peer.Generate()
 	if err != nil {
@@ -139,6 +143,7 @@
 	return nil
 }
 
+// domainName returns the failure domain of VM i. Consecutive VMs are in different domains.
 func domainName(i, domains int32) string { return fmt.Sprintf("domain-%d", i%domains) }
 
 // entrySettings returns the settings that an entry would get from its command line.
@@ -159,21 +164,21 @@
 
 // vms returns the VM list with all entries and workers.
 func (s *localCluster) vms() []*schema.Vm {
-	var list []*schema.Vm
+	var vms []*schema.Vm
 	for i, e := range s.entries {
-		list = append(list, &schema.Vm{
+		vms = append(vms, &schema.Vm{
 			Address: e.PeerAddress().String(), Domain: domainName(int32(i), s.settings.Domains), Role: schema.VmRole_VM_ROLE_ENTRY,
 		})
 	}
 	for i, a := range s.fleet.Addresses {
-		list = append(list, &schema.Vm{
+		vms = append(vms, &schema.Vm{
 			Address: a.String(), Domain: domainName(int32(i), s.settings.Domains),
 			Rack: fmt.Sprintf("rack-%d", i/workersPerRack), Role: schema.VmRole_VM_ROLE_WORKER,
 			Slots: uint32(s.settings.Slots), Connections: uint32(s.settings.Connections),
 			Resources: &schema.Resources{Cpus: 64, MemoryMb: 256 << 10},
 		})
 	}
-	return list
+	return vms
 }
 
 // waitUntilReady waits until all entries are ready and have divided all slots among themselves.
@@ -233,6 +238,7 @@
 	_ = s.entries[i].Abort() // on an error the entry is stopped all the same
 }
 
+// stop stops all parts that are still running.
 func (s *localCluster) stop() error {
 	var err error
 	for i, e := range s.entries {
--- a/internal/load/counters.go
+++ b/internal/load/counters.go
@@ -50,6 +50,7 @@
 	backends []netip.AddrPort
 }
 
+// readCounters implements counterSource.
 func (r httpCounters) readCounters(ctx context.Context) (counters, error) {
 	c := newCounters()
 	for _, u := range r.metrics {
@@ -123,6 +124,7 @@
 	}
 }
 
+// addRunRecord adds the counters of one backend server.
 func (c *counters) addRunRecord(w standin.RunRecord) {
 	c.runs.Starts += w.Starts
 	c.runs.Duplicates += w.Duplicates
--- a/internal/load/driver.go
+++ b/internal/load/driver.go
@@ -55,6 +55,7 @@
 // cancelJob cancels the job for its caller. Further calls do nothing.
 func (j *pendingJob) cancelJob() { j.cancelOnce.Do(func() { close(j.cancelCh) }) }
 
+// isCanceled reports whether cancelJob was called.
 func (j *pendingJob) isCanceled() bool {
 	select {
 	case <-j.cancelCh:
@@ -64,6 +65,7 @@
 	}
 }
 
+// newDriver returns a driver with one caller for each URL. The callers share their connections' transport.
 func newDriver(urls []string, token string, r *recorder) *driver {
 	t := &http.Transport{MaxIdleConnsPerHost: 4096, IdleConnTimeout: 30 * time.Second, DisableCompression: true}
 	d := &driver{recorder: r, inFlight: make(map[*pendingJob]struct{})}
--- a/internal/load/fleet.go
+++ b/internal/load/fleet.go
@@ -18,6 +18,7 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
+// Limits of a fleet profile.
 const (
 	maxFleetDaemons = 4000
 	maxFleetWorkers = 40_000
@@ -33,6 +34,7 @@
 	return p, errors.Wrapf(checkFleetProfile(p), "%s", file)
 }
 
+// checkFleetProfile returns an error that names the invalid field and the accepted values.
 func checkFleetProfile(p schema.FleetProfile) error {
 	if len(p.Daemons) == 0 {
 		return errors.New("daemons is empty")
@@ -141,7 +143,7 @@
 }
 
 // modelDaemons returns n daemons with all kinds of machines in all failure domains.
-func modelDaemons(p schema.FleetProfile, n int) (list []modelDaemon, infos []fleet.DaemonInfo) {
+func modelDaemons(p schema.FleetProfile, n int) (daemons []modelDaemon, infos []fleet.DaemonInfo) {
 	domains, machine, shareBefore := int(p.Domains), 0, 0.0
 	for i := range n {
 		// Each kind of machine is a consecutive range, so that every domain gets its part of it.
@@ -153,19 +155,19 @@
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i % domains), byte(i / domains / 250), byte(1 + i/domains%250)}), 8000),
 			Domain:  fmt.Sprint(i % domains), Weight: p.Machines[machine].Cores,
 		}}
-		list, infos = append(list, d), append(infos, d.DaemonInfo)
+		daemons, infos = append(daemons, d), append(infos, d.DaemonInfo)
 	}
-	return list, infos
+	return daemons, infos
 }
 
 // workersPerHolder returns the number of workers of each daemon of a cell that holds any.
 func workersPerHolder(workers []executor.WorkerInfo, members []modelDaemon) (held []float64) {
-	var list []fleet.Member
+	var fleetMembers []fleet.Member
 	for _, m := range members {
-		list = append(list, fleet.Member{Process: member.Process{Address: m.Address}, Domain: m.Domain, Weight: m.Weight})
+		fleetMembers = append(fleetMembers, fleet.Member{Process: member.Process{Address: m.Address}, Domain: m.Domain, Weight: m.Weight})
 	}
 	counts := make(map[netip.AddrPort]int)
-	for _, holder := range fleet.Assign(workers, list) {
+	for _, holder := range fleet.Assign(workers, fleetMembers) {
 		counts[holder.Address]++
 	}
 	for _, n := range counts {
@@ -209,6 +211,7 @@
 	return t.Flush()
 }
 
+// formatRange formats a range as least/median/most.
 func formatRange(r schema.FleetRange) string {
 	return fmt.Sprintf("%.0f/%.0f/%.0f", r.Least, r.Middle, r.Most)
 }
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -30,6 +30,7 @@
 	totalWeight float64
 }
 
+// newGenerator returns a generator for a profile. The seed determines all jobs and intervals.
 func newGenerator(p schema.LoadProfile, seed uint64) *generator {
 	g := &generator{profile: p, rng: rand.New(rand.NewPCG(seed, seed))}
 	for _, c := range p.Classes {
--- a/internal/load/output.go
+++ b/internal/load/output.go
@@ -47,6 +47,7 @@
 	return nil
 }
 
+// formatBusy formats the busy share of the machine, and warns if the machine was saturated.
 func formatBusy(m schema.LoadMachine) string {
 	text := fmt.Sprintf("%.0f%%", 100*m.Busy)
 	if m.Saturated {
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -60,6 +60,7 @@
 	ratios                    *hdrhistogram.Histogram
 }
 
+// newRecorder returns a recorder for a run that starts now.
 func newRecorder(p schema.LoadProfile, warmUp time.Duration, roundTrip map[bool]time.Duration) *recorder {
 	r := &recorder{
 		start:         time.Now(),
@@ -212,14 +213,14 @@
 
 // sortedCounts returns the counts with their names, the largest first.
 func sortedCounts(m map[string]int64) []schema.LoadCount {
-	list := make([]schema.LoadCount, 0, len(m))
+	sorted := make([]schema.LoadCount, 0, len(m))
 	for name, n := range m {
-		list = append(list, schema.LoadCount{Name: name, Count: n})
+		sorted = append(sorted, schema.LoadCount{Name: name, Count: n})
 	}
-	slices.SortFunc(list, func(a, b schema.LoadCount) int {
+	slices.SortFunc(sorted, func(a, b schema.LoadCount) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Name, b.Name))
 	})
-	return list
+	return sorted
 }
 
 // errorReason returns the reason for which a caller got no answer.
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -145,6 +145,7 @@
 	return r
 }
 
+// getRecord handles GET /admin/witness. With the parameter totals it leaves out the single tasks.
 func (s *Server) getRecord(c *gin.Context) {
 	if c.Query("totals") != "" {
 		c.JSON(http.StatusOK, s.Totals())
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -21,11 +21,13 @@
 	changed chan struct{}
 }
 
+// storedValue is a value with the identifier of its lease; 0 means none.
 type storedValue struct {
 	platform.Value
 	lease uint64
 }
 
+// lease is a lease with its time to live and the time at which it expires.
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
@@ -91,6 +93,7 @@
 	s.notifyWatchers()
 }
 
+// grant creates a lease and returns its identifier.
 func (s *store) grant(ttl time.Duration) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,6 +102,7 @@
 	return s.nextID
 }
 
+// renew extends a lease by its time to live.
 func (s *store) renew(id uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/platform/vm_list.go
+++ b/internal/standin/platform/vm_list.go
@@ -54,6 +54,7 @@
 	l.changed = make(chan struct{})
 }
 
+// setLag sets the time after which later changes become visible.
 func (l *vmList) setLag(lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
