--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -26,20 +26,20 @@
 	devWorkers = 4
 	devSlots   = 8
 	devTeam    = "dev"
-	// devToken is the caller's token in dev, devOperatorToken the operator's.
+	// devToken is the caller's token and devOperatorToken the operator's.
 	devToken         = "dev-token"
 	devOperatorToken = "dev-operator-token"
-	// maxDevPort leaves room for the ports after the first.
+	// maxDevPort leaves valid port numbers for the two interfaces after the first.
 	maxDevPort = 65530
 )
 
-// devCommand runs everything in one process.
+// devCommand runs an entry with a stand-in platform and stand-in backend servers in one process.
 type devCommand struct {
 	Once bool `help:"Submit one sample job, print its answer and exit."`
-	Port int  `help:"Port of the caller interface on 127.0.0.1; the operator interface and metrics get the next two. 0 picks free ports." default:"7400"`
+	Port int  `help:"Port of the caller interface on 127.0.0.1. The operator interface and the metrics use the next two ports. 0 picks free ports." default:"7400"`
 }
 
-// Validate checks the settings.
+// Validate checks the port.
 func (c *devCommand) Validate() error {
 	if c.Port < 0 || c.Port > maxDevPort {
 		return errors.Newf("--port is %d; accepted are 0 to %d", c.Port, maxDevPort)
@@ -47,12 +47,12 @@
 	return nil
 }
 
-// Run runs dev, for one job or until a signal.
+// Run runs the sample job with --once. Otherwise it serves until a signal arrives.
 func (c *devCommand) Run(s *streams, l *schema.LogSettings) error {
 	var e *entry.Entry
 	app := newApp(s, l, standinStopTimeout,
-		fx.Provide(newDevPlatform, newDevFleet, newDevCredentials, c.settings, entry.New),
-		fx.Invoke(hookEntry),
+		fx.Provide(newDevPlatform, newDevBackends, newDevCredentials, c.entrySettings, entry.New),
+		fx.Invoke(addEntryHooks),
 		fx.Populate(&e),
 	)
 	if c.Once {
@@ -61,7 +61,7 @@
 	return runDev(app, &e, s)
 }
 
-// runDev runs until a signal.
+// runDev serves until a signal arrives.
 func runDev(app *fx.App, e **entry.Entry, s *streams) error {
 	if err := startDev(app, e); err != nil {
 		return err
@@ -73,7 +73,7 @@
 	return stopDev(app)
 }
 
-// runOnce submits the sample job and prints its answer.
+// runOnce submits the sample job, prints its answer and stops the application.
 func (c *devCommand) runOnce(app *fx.App, e **entry.Entry, s *streams) error {
 	if err := startDev(app, e); err != nil {
 		return err
@@ -81,14 +81,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	caller := client.Client{URL: httpURL((*e).CallerAddress()), Token: devToken}
-	r, err := caller.Submit(ctx, sampleQuote())
+	r, err := caller.Submit(ctx, sampleJob())
 	if err == nil {
 		err = printAnswer(s.out, r.Answer)
 	}
 	return errors.CombineErrors(err, stopDev(app))
 }
 
-// startDev starts the application and waits until the entry is ready.
+// startDev starts the application and waits until the entry is ready for jobs.
 func startDev(app *fx.App, e **entry.Entry) error {
 	if err := app.Err(); err != nil {
 		return err
@@ -101,13 +101,14 @@
 	for !(*e).Ready() {
 		select {
 		case <-ctx.Done():
-			return errors.New("the entry did not become ready")
+			return errors.Newf("the entry is not ready %s after the start of the application", app.StartTimeout())
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
+// stopDev stops the application within its time limit.
 func stopDev(app *fx.App) error {
 	ctx, cancel := context.WithTimeout(context.Background(), app.StopTimeout())
 	defer cancel()
@@ -119,24 +120,26 @@
 	url string
 }
 
-// newDevPlatform starts the stand-in with the workers and the sample configuration.
-func newDevPlatform(lc fx.Lifecycle, fleet *standinbackend.Fleet) (*devPlatform, error) {
+// newDevPlatform starts the stand-in platform with the stand-in workers in its VM list, and writes the
+// sample configuration to it.
+func newDevPlatform(lc fx.Lifecycle, backends *standinbackend.Fleet) (*devPlatform, error) {
 	server := standinplatform.NewServer()
-	server.SetVMs(devVMs(fleet))
+	server.SetVMs(devVMs(backends))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	h := &http.Server{Handler: server, ReadHeaderTimeout: startTimeout}
-	go h.Serve(l)
-	lc.Append(fx.Hook{OnStop: func(context.Context) error { return h.Close() }})
+	httpServer := &http.Server{Handler: server, ReadHeaderTimeout: startTimeout}
+	go httpServer.Serve(l)
+	lc.Append(fx.Hook{OnStop: func(context.Context) error { return httpServer.Close() }})
 	p := &devPlatform{url: httpURL(l.Addr().(*net.TCPAddr).AddrPort())}
 	return p, entry.SeedConfig(context.Background(), p.url, sampleConfig())
 }
 
-func devVMs(fleet *standinbackend.Fleet) []*schema.Vm {
+// devVMs returns the VM list: all backend servers as workers of one failure domain, two in each rack.
+func devVMs(backends *standinbackend.Fleet) []*schema.Vm {
 	var vms []*schema.Vm
-	for i, a := range fleet.Addresses {
+	for i, a := range backends.Addresses {
 		vms = append(vms, &schema.Vm{
 			Address:     a.String(),
 			Domain:      devDomain,
@@ -150,7 +153,8 @@
 	return vms
 }
 
-func newDevFleet(lc fx.Lifecycle) (*standinbackend.Fleet, error) {
+// newDevBackends starts the stand-in backend servers on free ports.
+func newDevBackends(lc fx.Lifecycle) (*standinbackend.Fleet, error) {
 	f, err := standinbackend.Listen(schema.BackendSettings{
 		Address:     netip.MustParseAddrPort("127.0.0.1:0"),
 		Count:       devWorkers,
@@ -165,7 +169,7 @@
 	return f, nil
 }
 
-// newDevCredentials makes keys and certificates in memory.
+// newDevCredentials generates keys and certificates in memory.
 func newDevCredentials() (peer.Credentials, error) {
 	p, err := peer.Generate()
 	if err != nil {
@@ -174,8 +178,8 @@
 	return p.Credentials()
 }
 
-// settings returns the entry's settings.
-func (c *devCommand) settings(p *devPlatform) schema.EntrySettings {
+// entrySettings returns the settings of the entry. With --once, it listens on free ports.
+func (c *devCommand) entrySettings(p *devPlatform) schema.EntrySettings {
 	port := func(offset int) netip.AddrPort {
 		if c.Port == 0 || c.Once {
 			return netip.MustParseAddrPort("127.0.0.1:0")
@@ -205,8 +209,8 @@
 	}
 }
 
-// stopTimeout returns how long a stop waits for jobs in flight, and then for an entry
-// that takes the answers over, of which dev has none.
+// stopTimeout returns how long a stop waits first for jobs in flight, and then for another entry to
+// take over the answers. The dev command has no other entry.
 func (c *devCommand) stopTimeout() time.Duration {
 	if c.Once {
 		return 0
--- a/internal/cli/values.go
+++ b/internal/cli/flag_values.go
@@ -10,18 +10,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// valueMappers read the values whose own errors don't name what is accepted.
+// valueMappers parse addresses and durations. kong's own errors for these types do not name the
+// accepted values.
 func valueMappers() []kong.Option {
 	return []kong.Option{
-		kong.TypeMapper(reflect.TypeFor[netip.AddrPort](), kong.MapperFunc(mapAddress)),
-		kong.TypeMapper(reflect.TypeFor[time.Duration](), kong.MapperFunc(mapDuration)),
+		kong.TypeMapper(reflect.TypeFor[netip.AddrPort](), kong.MapperFunc(decodeAddress)),
+		kong.TypeMapper(reflect.TypeFor[time.Duration](), kong.MapperFunc(decodeDuration)),
 	}
 }
 
-// mapAddress reads an IP:port. Names are refused: processes are known to each other
-// by IP numbers, and a resolver is one more thing that fails.
-func mapAddress(c *kong.DecodeContext, target reflect.Value) error {
-	text, err := popText(c, "IP:port")
+// decodeAddress parses an IP:port. It refuses host names: processes know each other by IP address,
+// and a resolver would be one more component that can fail.
+func decodeAddress(c *kong.DecodeContext, target reflect.Value) error {
+	text, err := popString(c, "IP:port")
 	if err != nil {
 		return err
 	}
@@ -33,9 +34,9 @@
 	return nil
 }
 
-// mapDuration reads a duration.
-func mapDuration(c *kong.DecodeContext, target reflect.Value) error {
-	text, err := popText(c, "duration")
+// decodeDuration parses a duration such as 500ms.
+func decodeDuration(c *kong.DecodeContext, target reflect.Value) error {
+	text, err := popString(c, "duration")
 	if err != nil {
 		return err
 	}
@@ -47,13 +48,14 @@
 	return nil
 }
 
-func popText(c *kong.DecodeContext, what string) (string, error) {
+// popString takes the next value from the command line. typeName names the expected type in kong's errors.
+func popString(c *kong.DecodeContext, typeName string) (string, error) {
 	var text string
-	err := c.Scan.PopValueInto(what, &text)
+	err := c.Scan.PopValueInto(typeName, &text)
 	return text, err
 }
 
-// checkURL checks the URL of an interface of lavendercleat.
+// checkURL checks that a value is the base URL of one of lavendercleat's HTTP interfaces.
 func checkURL(flag, value string) error {
 	u, err := url.Parse(value)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" || u.RawQuery != "" || u.Fragment != "" || (u.Path != "" && u.Path != "/") {
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -13,174 +13,187 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// maxShownPlan is the longest plan that is printed as an argument of confirm.
-const maxShownPlan = 4096
+// maxPlanArgumentBytes is the largest size of a plan that the plan command prints as an argument for
+// the confirm command.
+const maxPlanArgumentBytes = 4096
 
-// planCommand asks what an intent would change; nothing changes.
+// planCommand shows what an operation would change. It changes nothing; the confirm command applies
+// the plan.
 type planCommand struct {
 	operatorFlags
-	Force bool `help:"Go on although a kind or the whole fleet is left with nowhere to run."`
-
-	Drain     drainCommands   `cmd:"" help:"Stop new work on a worker or a rack."`
-	Undrain   undrainCommands `cmd:"" help:"Resume work on a drained worker or rack."`
-	Retire    domainIntent    `cmd:"" help:"Stop new work in a failure domain."`
-	Reinstate reinstateIntent `cmd:"" help:"Take back a retired failure domain."`
-	Hold      holdIntent      `cmd:"" help:"Refuse new jobs of a kind."`
-	Resume    resumeIntent    `cmd:"" help:"Accept new jobs of a held kind again."`
-	Limits    limitsIntent    `cmd:"" help:"Change limits of every request."`
-	Kind      kindCommands    `cmd:"" help:"Change or remove a kind."`
-	Team      teamCommands    `cmd:"" help:"Change or remove a team."`
-	Init      initIntent      `cmd:"" help:"Write the first document from a file."`
-	Restore   restoreIntent   `cmd:"" help:"Write the document in force back to a platform that came back older."`
-}
-
+	Force bool `help:"Allow the plan even if no worker remains for a kind or for the whole fleet."`
+
+	Drain     drainCommands         `cmd:"" help:"Stop sending new tasks to a worker or a rack."`
+	Undrain   undrainCommands       `cmd:"" help:"Resume sending tasks to a drained worker or rack."`
+	Retire    retireDomainIntent    `cmd:"" help:"Stop sending new tasks to a failure domain."`
+	Reinstate reinstateDomainIntent `cmd:"" help:"Put a retired failure domain back into use."`
+	Hold      holdKindIntent        `cmd:"" help:"Refuse new jobs of a kind."`
+	Resume    resumeKindIntent      `cmd:"" help:"Accept new jobs of a held kind again."`
+	Limits    setLimitsIntent       `cmd:"" help:"Change the limits that apply to every request."`
+	Kind      kindCommands          `cmd:"" help:"Change or remove a kind."`
+	Team      teamCommands          `cmd:"" help:"Change or remove a team."`
+	Init      initIntent            `cmd:"" help:"Write the first configuration document from a file."`
+	Restore   restoreIntent         `cmd:"" help:"Write the configuration in force back to a platform whose copy is older."`
+}
+
+// drainCommands are the commands that drain workers.
 type drainCommands struct {
-	Worker drainWorkerIntent `cmd:"" help:"Stop new work on one worker."`
-	Rack   drainRackIntent   `cmd:"" help:"Stop new work on all workers of a rack."`
+	Worker drainWorkerIntent `cmd:"" help:"Stop sending new tasks to one worker."`
+	Rack   drainRackIntent   `cmd:"" help:"Stop sending new tasks to all workers of a rack."`
 }
 
+// undrainCommands are the commands that undo a drain.
 type undrainCommands struct {
-	Worker undrainWorkerIntent `cmd:"" help:"Resume work on one worker."`
-	Rack   undrainRackIntent   `cmd:"" help:"Resume work on a rack."`
+	Worker undrainWorkerIntent `cmd:"" help:"Resume sending tasks to one worker."`
+	Rack   undrainRackIntent   `cmd:"" help:"Resume sending tasks to a rack."`
 }
 
+// kindCommands are the commands that change kinds.
 type kindCommands struct {
-	Set    setKindIntent    `cmd:"" help:"Make a kind or change its rules."`
+	Set    setKindIntent    `cmd:"" help:"Create a kind or change its rules."`
 	Remove removeKindIntent `cmd:"" help:"Remove a kind."`
 }
 
+// teamCommands are the commands that change teams.
 type teamCommands struct {
-	Set    setTeamIntent    `cmd:"" help:"Make a team or change its quota, weight or token."`
+	Set    setTeamIntent    `cmd:"" help:"Create a team or change its quota, weight or token."`
 	Remove removeTeamIntent `cmd:"" help:"Remove a team."`
 }
 
-type worker struct {
+// workerArg is the argument of the intents for one worker.
+type workerArg struct {
 	Address string `arg:"" help:"The worker's address (IP:port) as in the VM list."`
 }
 
-type rack struct {
-	Rack string `arg:"" help:"The rack as domain/rack."`
+// rackArg is the argument of the intents for one rack.
+type rackArg struct {
+	Rack string `arg:"" help:"The rack, as domain/rack."`
 }
 
-type domain struct {
+// domainArg is the argument of the intents for a failure domain.
+type domainArg struct {
 	Domain string `arg:"" help:"The failure domain."`
 }
 
-type named struct {
+// nameArg is the name of a kind or a team.
+type nameArg struct {
 	Name string `arg:"" help:"The name."`
 }
 
-type settings struct {
-	Settings []string `arg:"" help:"Fields to set as field=value; a wrong field gets the list of fields."`
+// settingsArg are the fields to change.
+type settingsArg struct {
+	Settings []string `arg:"" help:"Fields to set, as field=value. The error for an unknown field lists the fields."`
 }
 
+// The intents, each with its arguments.
 type (
-	drainWorkerIntent   struct{ worker }
-	undrainWorkerIntent struct{ worker }
-	drainRackIntent     struct{ rack }
-	undrainRackIntent   struct{ rack }
-	domainIntent        struct{ domain }
-	reinstateIntent     struct{ domain }
-	limitsIntent        struct{ settings }
-	setKindIntent       struct {
-		named
-		settings
+	drainWorkerIntent     struct{ workerArg }
+	undrainWorkerIntent   struct{ workerArg }
+	drainRackIntent       struct{ rackArg }
+	undrainRackIntent     struct{ rackArg }
+	retireDomainIntent    struct{ domainArg }
+	reinstateDomainIntent struct{ domainArg }
+	setLimitsIntent       struct{ settingsArg }
+	setKindIntent         struct {
+		nameArg
+		settingsArg
 	}
-	removeKindIntent struct{ named }
-	holdIntent       struct{ named }
-	resumeIntent     struct{ named }
+	removeKindIntent struct{ nameArg }
+	holdKindIntent   struct{ nameArg }
+	resumeKindIntent struct{ nameArg }
 	setTeamIntent    struct {
-		named
-		settings
+		nameArg
+		settingsArg
 	}
-	removeTeamIntent struct{ named }
+	removeTeamIntent struct{ nameArg }
 	restoreIntent    struct{}
 	initIntent       struct {
 		File string `arg:"" type:"existingfile" help:"File with the document in JSON, as export prints it."`
 	}
 )
 
-// Run plans draining a worker.
+// Run plans to drain a worker.
 func (i *drainWorkerIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.DrainWorker), Target: i.Address})
+	return p.requestPlan(s, schema.Intent{Action: string(config.DrainWorker), Target: i.Address})
 }
 
-// Run plans undraining a worker.
+// Run plans to undrain a worker.
 func (i *undrainWorkerIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.UndrainWorker), Target: i.Address})
+	return p.requestPlan(s, schema.Intent{Action: string(config.UndrainWorker), Target: i.Address})
 }
 
-// Run plans draining a rack.
+// Run plans to drain a rack.
 func (i *drainRackIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.DrainRack), Target: i.Rack})
+	return p.requestPlan(s, schema.Intent{Action: string(config.DrainRack), Target: i.Rack})
 }
 
-// Run plans undraining a rack.
+// Run plans to undrain a rack.
 func (i *undrainRackIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.UndrainRack), Target: i.Rack})
+	return p.requestPlan(s, schema.Intent{Action: string(config.UndrainRack), Target: i.Rack})
 }
 
-// Run plans retiring a failure domain.
-func (i *domainIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.RetireDomain), Target: i.Domain})
+// Run plans to retire a failure domain.
+func (i *retireDomainIntent) Run(p *planCommand, s *streams) error {
+	return p.requestPlan(s, schema.Intent{Action: string(config.RetireDomain), Target: i.Domain})
 }
 
-// Run plans reinstating a failure domain.
-func (i *reinstateIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.ReinstateDomain), Target: i.Domain})
+// Run plans to reinstate a failure domain.
+func (i *reinstateDomainIntent) Run(p *planCommand, s *streams) error {
+	return p.requestPlan(s, schema.Intent{Action: string(config.ReinstateDomain), Target: i.Domain})
 }
 
-// Run plans a change of limits.
-func (i *limitsIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.SetLimits), Settings: i.Settings})
+// Run plans to change limits.
+func (i *setLimitsIntent) Run(p *planCommand, s *streams) error {
+	return p.requestPlan(s, schema.Intent{Action: string(config.SetLimits), Settings: i.Settings})
 }
 
-// Run plans a change of a kind.
+// Run plans to create or change a kind.
 func (i *setKindIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.SetKind), Target: i.Name, Settings: i.Settings})
+	return p.requestPlan(s, schema.Intent{Action: string(config.SetKind), Target: i.Name, Settings: i.Settings})
 }
 
-// Run plans removing a kind.
+// Run plans to remove a kind.
 func (i *removeKindIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.RemoveKind), Target: i.Name})
+	return p.requestPlan(s, schema.Intent{Action: string(config.RemoveKind), Target: i.Name})
 }
 
-// Run plans holding a kind.
-func (i *holdIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.HoldKind), Target: i.Name})
+// Run plans to hold a kind.
+func (i *holdKindIntent) Run(p *planCommand, s *streams) error {
+	return p.requestPlan(s, schema.Intent{Action: string(config.HoldKind), Target: i.Name})
 }
 
-// Run plans resuming a kind.
-func (i *resumeIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.ResumeKind), Target: i.Name})
+// Run plans to resume a kind.
+func (i *resumeKindIntent) Run(p *planCommand, s *streams) error {
+	return p.requestPlan(s, schema.Intent{Action: string(config.ResumeKind), Target: i.Name})
 }
 
-// Run plans a change of a team.
+// Run plans to create or change a team.
 func (i *setTeamIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.SetTeam), Target: i.Name, Settings: i.Settings})
+	return p.requestPlan(s, schema.Intent{Action: string(config.SetTeam), Target: i.Name, Settings: i.Settings})
 }
 
-// Run plans removing a team.
+// Run plans to remove a team.
 func (i *removeTeamIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.RemoveTeam), Target: i.Name})
+	return p.requestPlan(s, schema.Intent{Action: string(config.RemoveTeam), Target: i.Name})
 }
 
-// Run plans a restore.
+// Run plans to restore the configuration in force.
 func (i *restoreIntent) Run(p *planCommand, s *streams) error {
-	return p.send(s, schema.Intent{Action: string(config.Restore)})
+	return p.requestPlan(s, schema.Intent{Action: string(config.Restore)})
 }
 
-// Run plans the first document.
+// Run plans to write the first configuration document.
 func (i *initIntent) Run(p *planCommand, s *streams) error {
 	b, err := os.ReadFile(i.File)
 	if err != nil {
 		return err
 	}
-	return p.send(s, schema.Intent{Action: string(config.Init), Document: string(b)})
+	return p.requestPlan(s, schema.Intent{Action: string(config.Init), Document: string(b)})
 }
 
-// send asks for the plan and prints it.
-func (p *planCommand) send(s *streams, i schema.Intent) error {
+// requestPlan requests the plan for an intent from an entry and prints it. It returns an error if the
+// entry would refuse to apply the plan.
+func (p *planCommand) requestPlan(s *streams, i schema.Intent) error {
 	i.Force = p.Force
 	var plan schema.Plan
 	if err := p.call(http.MethodPost, "/v1/plans", i, &plan); err != nil {
@@ -193,29 +206,29 @@
 		return err
 	}
 	if plan.Refused != "" {
-		return errors.Newf("a confirmation would be refused: %s", plan.Refused)
+		return errors.Newf("confirming this plan would be refused: %s", plan.Refused)
 	}
-	return printConfirm(s.out, plan)
+	return printConfirmCommand(s.out, plan)
 }
 
-// confirmCommand carries out a plan.
+// confirmCommand applies a plan.
 type confirmCommand struct {
 	operatorFlags
-	File string `type:"existingfile" help:"File with the plan as plan --json prints it; - for standard input."`
-	Plan string `arg:"" optional:"" help:"The plan, as plan prints it."`
+	File string `type:"existingfile" help:"File with the plan, as plan --json prints it; - for the standard input."`
+	Plan string `arg:"" optional:"" help:"The plan, as the plan command prints it."`
 }
 
-// Validate checks the settings.
+// Validate checks that the plan is given exactly once, and checks the operator flags.
 func (c *confirmCommand) Validate() error {
 	if (c.File == "") == (c.Plan == "") {
-		return errors.New("the plan is missing or there twice; accepted is an argument or --file")
+		return errors.New("expected exactly one of a plan as argument and --file; got none or both")
 	}
 	return c.operatorFlags.Validate()
 }
 
-// Run confirms the plan.
+// Run confirms the plan and prints the outcome.
 func (c *confirmCommand) Run(s *streams) error {
-	plan, err := c.read(s.in)
+	plan, err := c.readConfirmation(s.in)
 	if err != nil {
 		return err
 	}
@@ -230,10 +243,11 @@
 	return err
 }
 
-func (c *confirmCommand) read(in io.Reader) (schema.Confirmation, error) {
+// readConfirmation reads the plan from the argument, the file or the standard input.
+func (c *confirmCommand) readConfirmation(in io.Reader) (schema.Confirmation, error) {
 	var plan schema.Plan
 	if c.Plan != "" {
-		return decodePlan(c.Plan)
+		return decodeConfirmation(c.Plan)
 	}
 	if c.File != "-" {
 		f, err := os.Open(c.File)
@@ -244,27 +258,28 @@
 		in = f
 	}
 	if err := json.NewDecoder(in).Decode(&plan); err != nil {
-		return schema.Confirmation{}, errors.Wrapf(err, "%s holds no plan in JSON", c.File)
+		return schema.Confirmation{}, errors.Wrapf(err, "reading %s: expected a plan in JSON", c.File)
 	}
-	return confirmation(plan), nil
+	return confirmationOf(plan), nil
 }
 
-// confirmation returns what a confirmation needs of a plan.
-func confirmation(p schema.Plan) schema.Confirmation {
+// confirmationOf returns the part of a plan that its confirmation sends.
+func confirmationOf(p schema.Plan) schema.Confirmation {
 	return schema.Confirmation{Id: p.Id, BaseRevision: p.BaseRevision, Nonce: p.Nonce, Intent: p.Intent}
 }
 
-// encodePlan packs a plan into one argument.
-func encodePlan(p schema.Plan) (string, error) {
-	b, err := json.Marshal(confirmation(p))
+// encodeConfirmation encodes the confirmation of a plan as one command-line argument.
+func encodeConfirmation(p schema.Plan) (string, error) {
+	b, err := json.Marshal(confirmationOf(p))
 	return base64.RawURLEncoding.EncodeToString(b), err
 }
 
-func decodePlan(arg string) (schema.Confirmation, error) {
+// decodeConfirmation decodes an argument that encodeConfirmation returned.
+func decodeConfirmation(arg string) (schema.Confirmation, error) {
 	var c schema.Confirmation
 	b, err := base64.RawURLEncoding.DecodeString(arg)
 	if err == nil {
 		err = json.Unmarshal(b, &c)
 	}
-	return c, errors.Wrap(err, "the argument is not a whole plan; copy all of it")
+	return c, errors.Wrap(err, "the argument is not a complete plan; copy all of it")
 }
--- a/internal/load/counters.go
+++ b/internal/load/counters.go
@@ -18,39 +18,40 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// Names of the entries' counters.
+// Names of the entries' metrics, and values of their labels.
 const (
 	metricRetries  = "lavendercleat_retries_total"
 	metricMessages = "lavendercleat_peer_messages_total"
 	metricBorrows  = "lavendercleat_borrows_total"
-	// borrowNothing labels requests for slots that brought nothing.
-	borrowNothing = "nothing"
-	// retryRefused and retryLeaving label retries after a worker's refusal, which the
-	// backend servers count as well.
+	// borrowEmpty labels requests for slots that got none.
+	borrowEmpty = "nothing"
+	// retryRefused and retryLeaving label retries after a worker refused a task. The backend servers
+	// count these refusals too.
 	retryRefused = "worker_refused"
 	retryLeaving = "worker_leaving"
 )
 
-// counters is the sum over all entries and backend servers.
+// counters are summed over all entries and backend servers.
 type counters struct {
 	retries  map[string]int64
 	messages map[string]int64
 	borrows  map[string]int64
-	witness  standin.RunRecord
+	runs     standin.RunRecord
 }
 
-// source reads counters.
-type source interface {
-	read(ctx context.Context) (counters, error)
+// counterSource reads the counters of a system.
+type counterSource interface {
+	readCounters(ctx context.Context) (counters, error)
 }
 
-// remote reads counters over HTTP.
-type remote struct {
+// httpCounters reads counters over HTTP from the metrics and backend addresses.
+type httpCounters struct {
 	metrics  []string
 	backends []netip.AddrPort
 }
 
-func (r remote) read(ctx context.Context) (counters, error) {
+// readCounters implements counterSource.
+func (r httpCounters) readCounters(ctx context.Context) (counters, error) {
 	c := newCounters()
 	for _, u := range r.metrics {
 		if err := c.addMetrics(ctx, u); err != nil {
@@ -60,13 +61,13 @@
 	for _, b := range r.backends {
 		body, err := fetch(ctx, "http://"+b.String()+"/admin/witness?totals=1")
 		if err != nil {
-			return c, errors.Wrapf(err, "asking backend server %s", b)
+			return c, errors.Wrapf(err, "reading the counters of backend server %s", b)
 		}
 		var w standin.RunRecord
 		if err := json.Unmarshal(body, &w); err != nil {
-			return c, errors.Wrapf(err, "asking backend server %s", b)
+			return c, errors.Wrapf(err, "decoding the counters of backend server %s", b)
 		}
-		c.addWitness(w)
+		c.addRunRecord(w)
 	}
 	return c, nil
 }
@@ -75,6 +76,7 @@
 	return counters{retries: map[string]int64{}, messages: map[string]int64{}, borrows: map[string]int64{}}
 }
 
+// fetch returns the body of a GET request. A status other than 200 is an error.
 func fetch(ctx context.Context, url string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -86,12 +88,12 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.Newf("%s", resp.Status)
+		return nil, errors.Newf("expected status 200, got %s", resp.Status)
 	}
 	return io.ReadAll(resp.Body)
 }
 
-// addMetrics adds one entry's counters.
+// addMetrics adds the counters of one entry.
 func (c *counters) addMetrics(ctx context.Context, url string) error {
 	body, err := fetch(ctx, url)
 	if err != nil {
@@ -100,21 +102,21 @@
 	return c.parse(string(body))
 }
 
-// parse adds counters in the Prometheus text format.
+// parse adds the counters in a text in the Prometheus format.
 func (c *counters) parse(text string) error {
 	p := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := p.TextToMetricFamilies(strings.NewReader(text))
 	if err != nil {
-		return errors.Wrap(err, "metrics")
+		return errors.Wrap(err, "parsing metrics")
 	}
-	addLabeled(c.retries, families[metricRetries])
-	addLabeled(c.messages, families[metricMessages])
-	addLabeled(c.borrows, families[metricBorrows])
+	addByLabel(c.retries, families[metricRetries])
+	addByLabel(c.messages, families[metricMessages])
+	addByLabel(c.borrows, families[metricBorrows])
 	return nil
 }
 
-// addLabeled adds a counter with one label.
-func addLabeled(m map[string]int64, f *dto.MetricFamily) {
+// addByLabel adds a counter with one label. The keys of the map are the label's values.
+func addByLabel(m map[string]int64, f *dto.MetricFamily) {
 	for _, x := range f.GetMetric() {
 		if len(x.GetLabel()) == 1 {
 			m[x.GetLabel()[0].GetValue()] += int64(x.GetUntyped().GetValue())
@@ -122,32 +124,33 @@
 	}
 }
 
-func (c *counters) addWitness(w standin.RunRecord) {
-	c.witness.Starts += w.Starts
-	c.witness.Duplicates += w.Duplicates
-	c.witness.Refused += w.Refused
-	c.witness.Aborted += w.Aborted
-	c.witness.BusyMS += w.BusyMS
+// addRunRecord adds the counters of one backend server.
+func (c *counters) addRunRecord(w standin.RunRecord) {
+	c.runs.Starts += w.Starts
+	c.runs.Duplicates += w.Duplicates
+	c.runs.Refused += w.Refused
+	c.runs.Aborted += w.Aborted
+	c.runs.BusyMS += w.BusyMS
 }
 
-// since returns what was added since before.
+// since returns the difference to earlier counters.
 func (c counters) since(before counters) counters {
-	d := newCounters()
-	d.retries = difference(c.retries, before.retries)
-	d.messages = difference(c.messages, before.messages)
-	d.borrows = difference(c.borrows, before.borrows)
-	d.witness = c.witness
-	d.witness.Starts -= before.witness.Starts
-	d.witness.Duplicates -= before.witness.Duplicates
-	d.witness.Refused -= before.witness.Refused
-	d.witness.Aborted -= before.witness.Aborted
-	d.witness.BusyMS -= before.witness.BusyMS
-	return d
+	diff := newCounters()
+	diff.retries = subtractCounts(c.retries, before.retries)
+	diff.messages = subtractCounts(c.messages, before.messages)
+	diff.borrows = subtractCounts(c.borrows, before.borrows)
+	diff.runs = c.runs
+	diff.runs.Starts -= before.runs.Starts
+	diff.runs.Duplicates -= before.runs.Duplicates
+	diff.runs.Refused -= before.runs.Refused
+	diff.runs.Aborted -= before.runs.Aborted
+	diff.runs.BusyMS -= before.runs.BusyMS
+	return diff
 }
 
-// difference subtracts; an entry that died takes its counters with it, so a negative
-// difference counts as none.
-func difference(after, before map[string]int64) map[string]int64 {
+// subtractCounts returns after minus before. The counters of an entry that died are missing in after, so a
+// negative difference counts as 0.
+func subtractCounts(after, before map[string]int64) map[string]int64 {
 	d := maps.Clone(after)
 	for k, n := range before {
 		d[k] = max(d[k]-n, 0)
@@ -156,18 +159,19 @@
 	return d
 }
 
-// waste returns the messages and the work without use.
+// waste returns the messages and run time that contributed to no complete job.
 func (c counters) waste(usefulSeconds float64) schema.LoadWaste {
 	w := schema.LoadWaste{
-		Starts:           c.witness.Starts,
-		Doubled:          c.witness.Duplicates,
-		RefusedByWorkers: c.witness.Refused,
-		Retries:          counts(c.retries),
-		EmptyBorrows:     c.borrows[borrowNothing],
-		PeerMessages:     counts(c.messages),
-		BusySeconds:      float64(c.witness.BusyMS) / 1000,
+		Starts:           c.runs.Starts,
+		Doubled:          c.runs.Duplicates,
+		RefusedByWorkers: c.runs.Refused,
+		Retries:          sortedCounts(c.retries),
+		EmptyBorrows:     c.borrows[borrowEmpty],
+		PeerMessages:     sortedCounts(c.messages),
+		BusySeconds:      float64(c.runs.BusyMS) / 1000,
 	}
-	// A refusal is seen by both ends; it is one wasted exchange.
+	// The worker and the entry both count a refusal. It is one wasted exchange, so the larger count is
+	// taken.
 	wasted := max(w.RefusedByWorkers, c.retries[retryRefused]+c.retries[retryLeaving])
 	for reason, n := range c.retries {
 		if reason != retryRefused && reason != retryLeaving {
--- a/internal/load/driver.go
+++ b/internal/load/driver.go
@@ -15,143 +15,146 @@
 )
 
 const (
-	// unreachablePause is how long a URL that refused a connection gets no job, as a
-	// balancer would do.
+	// unreachablePause is how long a URL that refused a connection gets no job. A balancer would
+	// leave it out too.
 	unreachablePause = time.Second
-	// answerSlack is the time beyond its deadline for which a job's answer is awaited.
-	answerSlack = 10 * time.Second
-	// defaultWait is awaited when a job leaves the deadline to its kind.
-	defaultWait = 2 * time.Minute
+	// answerGrace is how long after a job's deadline the caller still waits for its answer.
+	answerGrace = 10 * time.Second
+	// defaultAnswerTimeout is how long the caller waits for the answer to a job without a deadline. Its
+	// kind sets the deadline.
+	defaultAnswerTimeout = 2 * time.Minute
 )
 
-// driver sends jobs and records how they end.
+// driver sends jobs to the entries in turn and records their outcomes.
 type driver struct {
-	callers []*caller
-	turn    atomic.Uint64
-	record  *recorder
-	wg      sync.WaitGroup
+	callers   []*caller
+	nextIndex atomic.Uint64
+	recorder  *recorder
+	wg        sync.WaitGroup
 
 	mu sync.Mutex
-	// inFlight holds the jobs that can be canceled.
-	inFlight map[*flight]struct{}
+	// inFlight is the set of jobs that can be canceled.
+	inFlight map[*pendingJob]struct{}
 }
 
-// caller sends jobs to one URL.
+// caller sends jobs to the URL of one entry.
 type caller struct {
 	client.Client
-	// pausedUntil is the Unix time in nanoseconds until which the URL gets no job.
+	// pausedUntil is the Unix time in nanoseconds until which the URL gets no jobs.
 	pausedUntil atomic.Int64
 }
 
-// flight is one job under way.
-type flight struct {
+// pendingJob is a job that was sent and is not yet answered.
+type pendingJob struct {
 	request
-	due    time.Time
-	cancel chan struct{}
-	once   sync.Once
+	due        time.Time
+	cancelCh   chan struct{}
+	cancelOnce sync.Once
 }
 
-// canceled ends the caller's interest in the answer.
-func (f *flight) canceled() { f.once.Do(func() { close(f.cancel) }) }
+// cancelJob cancels the job for its caller. Further calls do nothing.
+func (j *pendingJob) cancelJob() { j.cancelOnce.Do(func() { close(j.cancelCh) }) }
 
-func (f *flight) isCanceled() bool {
+// isCanceled reports whether cancelJob was called.
+func (j *pendingJob) isCanceled() bool {
 	select {
-	case <-f.cancel:
+	case <-j.cancelCh:
 		return true
 	default:
 		return false
 	}
 }
 
+// newDriver returns a driver with one caller for each URL. The callers share their connections' transport.
 func newDriver(urls []string, token string, r *recorder) *driver {
 	t := &http.Transport{MaxIdleConnsPerHost: 4096, IdleConnTimeout: 30 * time.Second, DisableCompression: true}
-	d := &driver{record: r, inFlight: make(map[*flight]struct{})}
+	d := &driver{recorder: r, inFlight: make(map[*pendingJob]struct{})}
 	for _, u := range urls {
 		d.callers = append(d.callers, &caller{Client: client.Client{URL: u, Token: token, HTTP: &http.Client{Transport: t}}})
 	}
 	return d
 }
 
-// run sends jobs at a rate for some time and waits for their endings.
+// run sends jobs at a mean rate for the given time, then waits until all have ended.
 func (d *driver) run(ctx context.Context, g *generator, perSecond float64, length time.Duration) {
 	start := time.Now()
 	due := start
 	for {
-		due = due.Add(g.gap(perSecond))
+		due = due.Add(g.nextInterval(perSecond))
 		if due.Sub(start) > length || !sleepUntil(ctx, due) {
 			break
 		}
-		d.send(ctx, g.next(), due)
+		d.send(ctx, g.nextRequest(), due)
 	}
 	d.wg.Wait()
 }
 
-// sleepUntil waits for a time and tells whether it came.
+// sleepUntil waits for a time. It returns false if the context ends first.
 func sleepUntil(ctx context.Context, t time.Time) bool {
 	return clock.Sleep(ctx, time.Until(t))
 }
 
-// send sends one job without waiting for it. Its response time counts from when it
-// was due, so that a late sender doesn't make the system look faster.
+// send sends one job and does not wait for its answer. The response time counts from the time at which
+// the job was due. Otherwise a driver that sends late would make the system look faster.
 func (d *driver) send(ctx context.Context, r request, due time.Time) {
-	f := &flight{request: r, due: due, cancel: make(chan struct{})}
+	j := &pendingJob{request: r, due: due, cancelCh: make(chan struct{})}
 	d.mu.Lock()
-	d.inFlight[f] = struct{}{}
+	d.inFlight[j] = struct{}{}
 	d.mu.Unlock()
-	d.record.sent(f)
+	d.recorder.recordSent(j)
 	d.wg.Go(func() {
-		d.fly(ctx, f)
+		d.sendAndRecord(ctx, j)
 		d.mu.Lock()
-		delete(d.inFlight, f)
+		delete(d.inFlight, j)
 		d.mu.Unlock()
 	})
 }
 
-// cancelAll cancels every job under way.
+// cancelAll cancels every job in flight.
 func (d *driver) cancelAll() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for f := range d.inFlight {
-		f.canceled()
+	for j := range d.inFlight {
+		j.cancelJob()
 	}
 }
 
-// next returns the caller for the next job, passing over paused ones.
-func (d *driver) next() *caller {
+// nextCaller returns the caller for the next job. It skips paused callers unless all are paused.
+func (d *driver) nextCaller() *caller {
 	now := time.Now().UnixNano()
 	for range d.callers {
-		c := d.callers[d.turn.Add(1)%uint64(len(d.callers))]
+		c := d.callers[d.nextIndex.Add(1)%uint64(len(d.callers))]
 		if c.pausedUntil.Load() < now {
 			return c
 		}
 	}
-	return d.callers[d.turn.Add(1)%uint64(len(d.callers))]
+	return d.callers[d.nextIndex.Add(1)%uint64(len(d.callers))]
 }
 
-// fly sends a job and records its ending.
-func (d *driver) fly(ctx context.Context, f *flight) {
-	wait := defaultWait
-	if f.job.DeadlineMs > 0 {
-		wait = time.Duration(f.job.DeadlineMs)*time.Millisecond + answerSlack
+// sendAndRecord sends a job, waits for its answer and records the outcome.
+func (d *driver) sendAndRecord(ctx context.Context, j *pendingJob) {
+	timeout := defaultAnswerTimeout
+	if j.job.DeadlineMs > 0 {
+		timeout = time.Duration(j.job.DeadlineMs)*time.Millisecond + answerGrace
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	if f.cancelAfter > 0 {
-		t := time.AfterFunc(f.cancelAfter, f.canceled)
+	if j.cancelAfter > 0 {
+		t := time.AfterFunc(j.cancelAfter, j.cancelJob)
 		defer t.Stop()
 	}
-	c := d.next()
-	reply, err := c.submit(ctx, f)
-	if unreachable(err) {
+	c := d.nextCaller()
+	reply, err := c.submit(ctx, j)
+	if isDialError(err) {
 		c.pausedUntil.Store(time.Now().Add(unreachablePause).UnixNano())
 	}
-	d.record.ended(f, reply, err)
+	d.recorder.recordOutcome(j, reply, err)
 }
 
-// submit sends a job and returns its answer.
-func (c *caller) submit(ctx context.Context, f *flight) (client.Reply, error) {
-	if f.oneCall {
-		return c.oneCall(ctx, f)
+// submit sends a job, in one call or under a reserved identifier, and returns its answer.
+func (c *caller) submit(ctx context.Context, j *pendingJob) (client.Reply, error) {
+	if j.oneCall {
+		return c.oneCall(ctx, j)
 	}
 	ids, err := c.Reserve(ctx, 1)
 	if err != nil {
@@ -161,45 +164,45 @@
 	defer close(done)
 	go func() {
 		select {
-		case <-f.cancel:
-			_, _ = c.Delete(ctx, ids[0]) // the answer to PUT tells how it ended
+		case <-j.cancelCh:
+			_, _ = c.Delete(ctx, ids[0]) // the response to PUT has the outcome
 		case <-done:
 		}
 	}()
-	return c.Put(ctx, ids[0], f.job)
+	return c.Put(ctx, ids[0], j.job)
 }
 
-// oneCall sends a job in one call, which is canceled by hanging up.
-func (c *caller) oneCall(ctx context.Context, f *flight) (client.Reply, error) {
-	ctx, hangUp := context.WithCancel(ctx)
-	defer hangUp()
+// oneCall sends a job in one call. Closing the connection cancels the job.
+func (c *caller) oneCall(ctx context.Context, j *pendingJob) (client.Reply, error) {
+	ctx, cancelCall := context.WithCancel(ctx)
+	defer cancelCall()
 	go func() {
 		select {
-		case <-f.cancel:
-			hangUp()
+		case <-j.cancelCh:
+			cancelCall()
 		case <-ctx.Done():
 		}
 	}()
-	return c.Do(ctx, f.job)
+	return c.Do(ctx, j.job)
 }
 
-// probes is the number of idle jobs by which round trips are measured.
-const probes = 30
+// probeCount is the number of jobs with which roundTrip measures the idle system.
+const probeCount = 30
 
-// roundTrip measures, on an idle system, the time that a job of one empty task takes:
-// what remains of the ideal beside the longest task.
+// roundTrip measures how long a job with one empty task takes on an idle system. The ideal response
+// time of a job is this time plus the run time of its longest task.
 func (d *driver) roundTrip(ctx context.Context, kind string, oneCall bool) (time.Duration, error) {
 	var times []time.Duration
-	for range probes {
-		f := &flight{request: request{oneCall: oneCall}, cancel: make(chan struct{})}
-		f.job = schema.Job{Kind: kind, Tasks: []schema.Task{{Payload: runPayload(0)}}}
+	for range probeCount {
+		j := &pendingJob{request: request{oneCall: oneCall}, cancelCh: make(chan struct{})}
+		j.job = schema.Job{Kind: kind, Tasks: []schema.Task{{Payload: runPayload(0)}}}
 		start := time.Now()
-		reply, err := d.next().submit(ctx, f)
+		reply, err := d.nextCaller().submit(ctx, j)
 		if err != nil {
-			return 0, errors.Wrap(err, "probing the idle system")
+			return 0, errors.Wrap(err, "measuring the round trip on the idle system")
 		}
 		if reply.Outcome != client.Complete {
-			return 0, errors.Newf("probing the idle system: a job of kind %q failed: %s %s", kind, reply.Reason, reply.Message)
+			return 0, errors.Newf("measuring the round trip on the idle system: a job of kind %q failed: %s %s", kind, reply.Reason, reply.Message)
 		}
 		times = append(times, time.Since(start))
 	}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -10,37 +10,37 @@
 	"github.com/lavendercleat/lavendercleat/schema"
 )
 
-// Run describes one run of a load.
+// Run describes one load run.
 type Run struct {
-	// Name of the run in the report.
+	// Name is the name of the run in the report.
 	Name    string
 	Profile schema.LoadProfile
-	// URLs of the caller interfaces, and the team's token.
+	// URLs are the URLs of the caller interfaces, and Token is the team's token.
 	URLs  []string
 	Token string
-	// JobsPerSecond is the mean rate.
+	// JobsPerSecond is the mean rate of jobs.
 	JobsPerSecond float64
 	Duration      time.Duration
 	WarmUp        time.Duration
 	Seed          uint64
-	// Progress is written to every second; nil for none.
+	// Progress gets a progress line every second. With nil no progress is written.
 	Progress io.Writer
-	// counters are read before and after.
-	counters source
-	// fault is called once, a third into the duration; nil for none.
-	fault func(d *driver)
+	// counters is read before and after the run.
+	counters counterSource
+	// injectFault is called once, after the warm-up and a third of the duration. It may be nil.
+	injectFault func(d *driver)
 }
 
-// RemoteRun returns the run of the settings against running entries.
+// RemoteRun returns a run with the given settings against entries that are already running.
 func RemoteRun(s schema.LoadSettings, p schema.LoadProfile, progress io.Writer) Run {
 	return Run{
 		Name: "load", Profile: p, URLs: s.Urls, Token: s.Token, JobsPerSecond: s.JobsPerSecond,
 		Duration: s.Duration, WarmUp: s.WarmUp, Seed: s.Seed, Progress: progress,
-		counters: remote{metrics: s.MetricsUrls, backends: s.Backends},
+		counters: httpCounters{metrics: s.MetricsUrls, backends: s.Backends},
 	}
 }
 
-// Check returns an error that names the flag and the accepted values.
+// Check returns an error that names the invalid flag and the accepted values.
 func (r Run) Check() error {
 	switch {
 	case r.JobsPerSecond <= 0:
@@ -53,38 +53,38 @@
 	return CheckProfile(r.Profile)
 }
 
-// Do runs the load and returns its report.
+// Do sends the load and returns the report.
 func (r Run) Do(ctx context.Context) (schema.LoadReport, error) {
 	if err := r.Check(); err != nil {
 		return schema.LoadReport{}, err
 	}
-	roundTrip, err := r.roundTrips(ctx)
+	roundTrip, err := r.measureRoundTrips(ctx)
 	if err != nil {
 		return schema.LoadReport{}, err
 	}
-	before, err := r.counters.read(ctx)
+	before, err := r.counters.readCounters(ctx)
 	if err != nil {
 		return schema.LoadReport{}, err
 	}
-	used := readUsage()
-	record := newRecorder(r.Profile, r.WarmUp, roundTrip)
-	r.drive(ctx, record)
-	machine := readUsage().since(used)
-	after, err := r.counters.read(ctx)
+	usageBefore := readUsage()
+	rec := newRecorder(r.Profile, r.WarmUp, roundTrip)
+	r.sendJobs(ctx, rec)
+	machineLoad := readUsage().since(usageBefore)
+	after, err := r.counters.readCounters(ctx)
 	if err != nil {
 		return schema.LoadReport{}, err
 	}
-	out := record.result(r.Profile)
+	out := rec.buildReport(r.Profile)
 	out.Name, out.Seed, out.JobsPerSecond = r.Name, r.Seed, r.JobsPerSecond
 	out.Seconds = r.Duration.Seconds()
-	out.OfferedSlots = record.offeredWork().Seconds() / out.Seconds
-	out.Waste = after.since(before).waste(record.usefulWork().Seconds())
-	out.Machine = machine
+	out.OfferedSlots = rec.totalOfferedRunTime().Seconds() / out.Seconds
+	out.Waste = after.since(before).waste(rec.totalUsefulRunTime().Seconds())
+	out.Machine = machineLoad
 	return out, nil
 }
 
-// roundTrips measures the idle system, for the ways of sending that the profile uses.
-func (r Run) roundTrips(ctx context.Context) (map[bool]time.Duration, error) {
+// measureRoundTrips measures round trips on the idle system, for each way of sending in the profile.
+func (r Run) measureRoundTrips(ctx context.Context) (map[bool]time.Duration, error) {
 	d := newDriver(r.URLs, r.Token, nil)
 	times := make(map[bool]time.Duration)
 	for _, c := range r.Profile.Classes {
@@ -100,16 +100,16 @@
 	return times, nil
 }
 
-// drive sends the jobs, with progress and the fault at its time.
-func (r Run) drive(ctx context.Context, record *recorder) {
-	d := newDriver(r.URLs, r.Token, record)
+// sendJobs sends the jobs, shows progress and injects the fault at its time.
+func (r Run) sendJobs(ctx context.Context, rec *recorder) {
+	d := newDriver(r.URLs, r.Token, rec)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if r.Progress != nil {
-		go showProgress(ctx, r.Progress, r.Name, r.WarmUp+r.Duration, record)
+		go showProgress(ctx, r.Progress, r.Name, r.WarmUp+r.Duration, rec)
 	}
-	if r.fault != nil {
-		t := time.AfterFunc(r.WarmUp+r.Duration/3, func() { r.fault(d) })
+	if r.injectFault != nil {
+		t := time.AfterFunc(r.WarmUp+r.Duration/3, func() { r.injectFault(d) })
 		defer t.Stop()
 	}
 	d.run(ctx, newGenerator(r.Profile, r.Seed), r.JobsPerSecond, r.WarmUp+r.Duration)
