--- a/test/cluster/doc.go
+++ b/test/cluster/doc.go
@@ -1,6 +1,7 @@
-// Package cluster starts the built binary as real processes for integration tests:
-// entries, stand-ins of backend servers and of the platform's service. Every TCP link
-// to a worker and to the platform goes through toxiproxy, every peer link through a
-// UDP relay, so that links can be cut or go silent; processes can be killed, frozen
-// and restarted at the same address.
+// Package cluster is the harness of the integration tests. It builds the program and runs it as
+// real processes: entries, and stand-ins for the backend servers and the platform's service.
+//
+// Every TCP link to a backend server or to the platform runs through a proxy (toxiproxy or a
+// TCPRelay), and every link between peers through a UDP relay. Tests can therefore break a link or
+// drop its data. They can also kill, freeze and restart a process; it keeps its address.
 package cluster
