--- a/test/chaos/doc_test.go
+++ b/test/chaos/doc_test.go
@@ -1,3 +1,3 @@
-// Package chaos proves the promises under partitions, platform outages, pairs of
-// failures and a random schedule of failures.
+// Package chaos contains the integration tests of the guarantees to callers under partitions, platform
+// outages, pairs of failures and a random schedule of failures.
 package chaos
