--- a/test/loan/doc.go
+++ b/test/loan/doc.go
@@ -1,2 +1,2 @@
-// Package loan tests the lending of slots between entries, with real processes.
+// Package loan tests with real processes that entries lend slots to each other.
 package loan
--- a/test/stop/doc_test.go
+++ b/test/stop/doc_test.go
@@ -1,3 +1,3 @@
-// Package stop tests planned stops, the ends of submissions whose owner is gone,
-// pauses, and leaving backend servers.
+// Package stop tests planned stops of entries, submissions whose owner is gone, pauses of entries, and
+// backend servers that leave. It runs real processes.
 package stop
