--- a/test/interleave/events_test.go
+++ b/test/interleave/eventqueue_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// event is something that happens at a time, to a daemon or to the world.
+// event is an action that a daemon or the world takes at a time.
 type event struct {
 	at  time.Duration
 	seq int
@@ -14,7 +14,7 @@
 	do  func()
 }
 
-// events is a queue by time; what is due at once goes in the order in which it was scheduled.
+// events is a queue by time; events of the same time run in the order in which they were scheduled.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -30,10 +30,10 @@
 	return x
 }
 
-// after schedules what happens to the world, or to workers.
+// after schedules an event of the world or of a worker, at a time from now.
 func (w *world) after(d time.Duration, do func()) { w.schedule(w.now+d, nil, do) }
 
-// at schedules what happens to a daemon; one that stands still then does it when it goes on.
+// at schedules an event of a daemon. A paused daemon handles it when its pause ends.
 func (w *world) at(t time.Duration, to *daemon, do func()) { w.schedule(t, to, do) }
 
 func (w *world) schedule(t time.Duration, to *daemon, do func()) {
@@ -41,7 +41,7 @@
 	heap.Push(&w.queue, event{max(t, w.now), w.seq, to, do})
 }
 
-// run lets time pass until a time, or until nothing is left to be seen.
+// run handles the events up to a time, or until no further violation can occur.
 func (w *world) run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until && !w.finished() {
 		e := heap.Pop(&w.queue).(event)
--- a/test/interleave/found_test.go
+++ b/test/interleave/regression_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// innocent plays a play twice, which has to be the same, and fails with its course where a task
+// checkScenario runs a scenario twice. It fails if the two runs differ, or with the trace if a task
 // ran twice at once.
 func checkScenario(t *testing.T, p scenario) {
 	t.Helper()
@@ -28,7 +28,8 @@
 	return bases[slices.IndexFunc(bases, func(b base) bool { return b.name == name })]
 }
 
-// A worker taken after the last heartbeat that its coordinator heard is not waited for when the executor is lost.
+// An executor took over a worker after its last heartbeat to the coordinator. When the executor is
+// lost, the coordinator restarts its tasks without waiting for the takeover of that worker.
 func TestWorkerTakenAfterLastHeartbeat(t *testing.T) {
 	checkScenario(t, scenario{baseNamed("busy at home"), []fault{
 		{kind: blockedOneWay, node: "B", target: "A", duration: 950 * ms},
@@ -36,7 +37,8 @@
 	}})
 }
 
-// Two executors exchange workers, and the coordinator, which hears of one takeover, waits for none of the other's.
+// Two executors take over each other's workers. The coordinator receives one of the takeovers, and
+// doesn't wait for the takeovers of the other executor's workers.
 func TestWorkersExchangedBetweenUnreachableExecutors(t *testing.T) {
 	checkScenario(t, scenario{baseNamed("idle"), []fault{
 		{kind: blockedBothWays, node: "B", target: "C", start: -900 * ms, duration: 700 * ms},
@@ -44,7 +46,8 @@
 	}})
 }
 
-// A task given back for want of a worker strikes off the worker that still runs another.
+// An executor gives a task back because it has no worker for it. The coordinator then also
+// crosses a worker off that still runs another of its tasks.
 func TestReturnedTaskDoesNotFreeOtherWorkers(t *testing.T) {
 	b := base{preferences: []string{"BA", "AB", "AB"}, work: 300 * ms, extraWork: 600 * ms, tasks: 4, jobName: "j0"}
 	checkScenario(t, scenario{b, []fault{
@@ -54,7 +57,8 @@
 	}})
 }
 
-// A coordinator's own earlier takeover counts for a worker that was taken back out of its sight.
+// An executor that the coordinator can't reach takes back a worker. The coordinator's own earlier
+// takeover of this worker counts as the takeover after it.
 func TestWorkerTakenBackWhileUnreachable(t *testing.T) {
 	checkScenario(t, scenario{baseNamed("busy late"), []fault{
 		{kind: blockedBothWays, node: "A", target: "B", start: ms, duration: 950 * ms},
@@ -62,7 +66,8 @@
 	}})
 }
 
-// A task that was started again elsewhere still waits in the lost executor's queue, and starts there.
+// A coordinator restarts a task elsewhere that still waits in the queue of an unreachable executor,
+// which then starts it too.
 func TestQueuedTaskStartedAfterItsRestart(t *testing.T) {
 	checkScenario(t, scenario{baseNamed("busy late"), []fault{
 		{kind: blockedBothWays, node: "A", target: "C", start: 200 * ms, duration: 950 * ms},
@@ -70,7 +75,8 @@
 	}})
 }
 
-// A former holder's answer to a recall is believed over the present holder's.
+// On a reconciliation, the coordinator takes the answer of a worker's former holder for newer than
+// that of the present holder.
 func TestReconciliationAnsweredByFormerHolder(t *testing.T) {
 	checkScenario(t, scenario{baseNamed("kept"), []fault{
 		{kind: reassigned, node: "w3", target: "A", start: 150 * ms, duration: 12 * ms},
@@ -79,7 +85,7 @@
 	}})
 }
 
-// A caller comes to another daemon while an executor behind a silent link still runs its job.
+// A caller submits its job again to another daemon while an executor behind a blocked link still runs it.
 func TestCallerRetriesWhileItsRunsGoOn(t *testing.T) {
 	checkScenario(t, scenario{baseNamed("busy again"), []fault{
 		{kind: callerLeaves, duration: 350 * ms},
@@ -88,7 +94,7 @@
 	}})
 }
 
-// A former holder's list, without the run, is taken as proof that it is over.
+// A coordinator takes a former holder's list of runs, which lacks a run, as proof that this run is over.
 func TestFormerHolderListIsNoProofOfCompletion(t *testing.T) {
 	checkScenario(t, scenario{baseNamed("kept"), []fault{
 		{kind: blockedOneWay, node: "C", target: "A", start: 200 * ms, duration: 650 * ms},
