--- a/test/policy/room_test.go
+++ b/test/policy/competingload_test.go
@@ -7,12 +7,12 @@
 	"github.com/lavendercleat/lavendercleat/coordinator"
 )
 
-// noteRefused notes how a job was refused, and whether there was room for all of its tasks.
+// recordRefusal records how a job was refused, and whether there was free capacity for all its tasks.
 func (m *model) recordRefusal(j *job, a coordinator.Answer) {
 	j.refusedAtOnce, j.hadFreeCapacity = a.Waited == 0, m.fits(j)
 }
 
-// fits reports whether all tasks of a job fit on workers now, by the word of their holders.
+// fits reports whether all tasks of a job fit on workers now, by the state that the workers' holders have.
 func (m *model) fits(j *job) bool {
 	var free []int64
 	for _, d := range m.daemons {
@@ -36,8 +36,9 @@
 	return true
 }
 
-// competing is short room that callers compete for: one kind's callers come five times as
-// often for five seconds, then one failure domain's four times, then all twice as often.
+// competingBursts adds bursts of callers who compete for scarce capacity: one kind's callers submit
+// five times as many jobs for five seconds, then one failure domain's four times as many, then all
+// twice as many.
 func competingBursts(l workload) workload {
 	between := func(at time.Duration, from, to float64) bool {
 		return at.Seconds() >= from && at.Seconds() < to
@@ -64,8 +65,9 @@
 	return l
 }
 
-// manyDaemons is a fleet of daemons of unequal strength whose workers take one or two of most
-// tasks: two of eight in each failure domain hold the workers, and news of them are older.
+// unequalDaemons is a fleet whose daemons have different processors and whose workers run one or two
+// of most tasks at once. Two of eight daemons of each failure domain hold the workers, and the
+// longer heartbeat interval makes reports on them older.
 func unequalDaemons(perSecond float64) workload {
 	return workload{domains: 4, daemonsPerDomain: 8, workersPerDomain: 22, strongDaemons: 2, heartbeatInterval: 200 * time.Millisecond, kinds: []kind{
 		{"short", 0.244 * perSecond, 8, 60 * time.Millisecond, 16000, 0, 0.00485},
--- a/test/policy/daemon_test.go
+++ b/test/policy/daemon_test.go
@@ -17,7 +17,7 @@
 	weight      float64
 	executor    *executor.Executor
 	coordinator *coordinator.Coordinator
-	// heard is when each other daemon's last heartbeat came; 0 for one that is lost.
+	// lastHeartbeat is when each reachable daemon's last heartbeat arrived.
 	lastHeartbeat map[member.Process]time.Duration
 }
 
@@ -30,7 +30,7 @@
 	})
 }
 
-// pulse tells all other daemons of the room here.
+// sendHeartbeats sends the free capacity of this daemon's workers to all other daemons.
 func (d *daemon) sendHeartbeats() {
 	d.m.at(d.m.now+d.m.workload.heartbeatInterval, d.sendHeartbeats)
 	d.executor.SetMedianSlowdowns(d.coordinator.MedianSlowdowns(d.m.now))
@@ -51,7 +51,7 @@
 	}
 }
 
-// send carries a message to another daemon, unless a cut is between them.
+// send sends a message to another daemon, unless either failure domain is isolated.
 func (d *daemon) send(to *daemon, deliver func()) {
 	if d.domain != to.domain && d.m.workload.isolated != nil {
 		at := d.m.now - warmUp
@@ -62,7 +62,7 @@
 	d.m.at(d.m.now+latency(d.domain, to.domain), deliver)
 }
 
-// loseSilent gives up daemons that are not heard from, as the links do.
+// dropUnreachable removes daemons whose heartbeats are missing for the time-out of the links.
 func (d *daemon) dropUnreachable() {
 	for _, p := range d.m.daemons {
 		if at, ok := d.lastHeartbeat[p.self]; ok && d.m.now-at > mesh.PeerTimeout {
@@ -85,7 +85,7 @@
 
 func (m *model) daemonOf(p member.Process) *daemon { return m.daemons[p.Incarnation-1] }
 
-// do runs f on the state machines and carries out what comes of it.
+// step runs f on the state machines and carries out their outputs.
 func (d *daemon) step(f func()) {
 	now := d.m.now
 	d.coordinator.UpdateExecutor(coordinator.ExecutorState{Process: d.self, Domain: d.domain, Workers: d.executor.WorkerCapacities(now), Backlog: d.executor.Backlog(d.m.now), ReportedAt: now})
@@ -128,7 +128,7 @@
 	return len(c.Messages)+len(e.Reports)+len(e.Takeovers)+len(e.Calls) > 0
 }
 
-// take carries out a coordinator's message.
+// handleMessage passes a coordinator's message to the executor.
 func (d *daemon) handleMessage(from *daemon, msg coordinator.Message) {
 	switch {
 	case msg.Offer != nil:
--- a/test/policy/doc_test.go
+++ b/test/policy/doc_test.go
@@ -1,5 +1,5 @@
-// Package policy measures how well coordinators and executors decide under load: their
-// state machines, many of them, against modeled workers and callers in simulated time. A
-// test names the pattern of load that it answers. Nothing is sent and no clock is read, so
-// a seed always gives the same figures.
+// Package policy measures how well coordinators and executors decide under load. It runs the state
+// machines of many daemons against simulated workers and callers, in simulated time. Each test names
+// its pattern of load. The simulation uses no network and no system clock, so that a seed always
+// gives the same results.
 package policy
--- a/test/policy/model_test.go
+++ b/test/policy/model_test.go
@@ -17,22 +17,23 @@
 )
 
 const (
-	// nearHop and farHop are one way within a failure domain and beyond it.
+	// localLatency and remoteLatency are the one-way times of a message within a failure domain and
+	// between two.
 	localLatency  = 100 * time.Microsecond
 	remoteLatency = 900 * time.Microsecond
-	// usualHeartbeat and tick are those of the daemon.
+	// defaultHeartbeatInterval and tickInterval are the intervals of the daemon.
 	defaultHeartbeatInterval = 100 * time.Millisecond
 	tickInterval             = 25 * time.Millisecond
-	// warmUp is when the first jobs come: workers are taken over by then.
+	// warmUp is the time of the first jobs: the daemons have taken over the workers by then.
 	warmUp  = 3 * time.Second
 	service = "quotes"
-	// wideTenth is how many times as many tasks as usual a job of the widest tenth has.
+	// A job with widestTenthFactor times the usual number of tasks of its kind is of the widest tenth.
 	widestTenthFactor = 1.5
-	// longTimes is how many times as long as usual a job of the few long ones takes.
+	// longFactor is how many times as long as usual the tasks of the few long jobs run.
 	longFactor = 7
 )
 
-// kind is one kind of jobs.
+// kind is a kind of jobs with the means of its properties.
 type kind struct {
 	name      string
 	perSecond float64
@@ -40,50 +41,54 @@
 	runTime   time.Duration
 	milliCPU  float64
 	priority  int
-	// credit is what a job that is on time is worth; a late one is worth a fifth of it.
+	// credit is what a job on time is worth; a late one is worth a fifth of it.
 	credit float64
 }
 
-// load is a pattern of load.
+// workload is a fleet and a pattern of load. A nil function stands for no deviation.
 type workload struct {
 	domains, daemonsPerDomain, workersPerDomain int
-	// places and perPlace are the failure domains that callers come from and the daemons in each:
-	// those of the fleet, also where one queue takes its place. 0: domains and daemonsEach.
+	// callerDomains is the number of failure domains that callers are in, daemonsPerCallerDomain the
+	// number of daemons in each: those of the fleet, or of the fleet that a single queue replaces. 0
+	// stands for domains and daemonsPerDomain.
 	callerDomains, daemonsPerCallerDomain int
-	// strong is how many daemons of each failure domain have four times the processor of the
-	// others; 0: it is not known.
+	// strongDaemons is how many daemons of each failure domain have four times the processor of the
+	// others; 0: the processors are unknown.
 	strongDaemons int
 	kinds         []kind
-	// rate multiplies the arrivals at a time, kindRate those of one kind, domainRate those of one
-	// failure domain's callers.
+	// rateFactor multiplies the arrivals at a time, kindRateFactor those of one kind, domainRateFactor
+	// those of one failure domain's callers.
 	rateFactor       func(at time.Duration) float64
 	kindRateFactor   func(kind string, at time.Duration) float64
 	domainRateFactor func(domain string, at time.Duration) float64
-	// share is the part of its failure domain's callers that an entry gets, compared with the
-	// domain's other entries; nil: all get as many.
+	// callerShare is a daemon's share of its failure domain's callers, compared with a mean of 1; nil:
+	// all daemons get the same share.
 	callerShare func(entry int) float64
-	// slow gives the factor by which a worker is slower at a time, for what runs there too; 1 as usual.
+	// slowdown is the factor by which a worker is slower at a time, also for tasks that already run
+	// there; 1 is as usual.
 	slowdown func(worker int, at time.Duration) float64
-	// long is the share of jobs whose tasks take longTimes as long as others; they are declared as others.
+	// longShare is the share of jobs whose tasks run longFactor times as long as others, but are declared
+	// as others.
 	longShare float64
-	// gone tells which workers are draining at a time.
+	// draining reports whether a worker is draining at a time.
 	draining func(worker int, at time.Duration) bool
-	// cut tells whether a failure domain is cut off from the others at a time.
+	// isolated reports whether a failure domain is cut off from the others at a time.
 	isolated func(domain string, at time.Duration) bool
-	// retired tells whether the operator has retired a failure domain at a time.
+	// retired reports whether the operator has retired a failure domain at a time.
 	retired func(domain string, at time.Duration) bool
-	// unanswered is the share of starts and stops that a worker leaves unanswered, and carries
-	// out lateBy later.
+	// unansweredShare is the share of starts and stops that a worker doesn't answer, and executes
+	// lateExecutionDelay later.
 	unansweredShare float64
-	// visits is how often a caller comes at most: one that is refused comes back when it was
-	// told to, in whole seconds, as callers are told. 0: once.
+	// maxSubmissions is how often a caller submits its job at most: a refused caller submits it again
+	// after the time in the refusal, in whole seconds as the callers' API gives it. 0 stands for 1.
 	maxSubmissions int
-	// length is how long jobs arrive.
+	// duration is how long jobs arrive.
 	duration time.Duration
-	// spread heartbeats over their interval, as the links do.
+	// synchronizedHeartbeats: all daemons send their heartbeats at the same time. The links of the
+	// product spread them over the interval.
 	synchronizedHeartbeats bool
-	// heartbeat is the time between a daemon's heartbeats, which grows with their number; 0:
-	// usualHeartbeat.
+	// heartbeatInterval is the time between a daemon's heartbeats, which grows with the number of
+	// daemons; 0 stands for defaultHeartbeatInterval.
 	heartbeatInterval time.Duration
 }
 
@@ -108,11 +113,11 @@
 	return x
 }
 
-// model is a fleet in simulated time.
+// model simulates a fleet and its callers in simulated time.
 type model struct {
 	workload workload
-	// rng draws jobs and their arrivals; each seed gives the same to every fleet. phases
-	// draws the rest.
+	// arrivalRand draws the jobs and their arrivals, so that each seed gives the same ones to every
+	// fleet. otherRand draws everything else.
 	arrivalRand, otherRand                *rand.Rand
 	now                                   time.Duration
 	events                                events
@@ -121,7 +126,7 @@
 	workers                               map[string]*worker
 	jobs                                  map[string]*job
 	returnedTasks, taskCount, submissions int
-	// work and useful count core-ms of all runs and of those of completed jobs.
+	// totalWork is the core time in ms of all runs, usefulWork of those whose jobs earned credit.
 	totalWork, usefulWork float64
 }
 
@@ -130,15 +135,16 @@
 	domain         string
 	arrivedAt      time.Duration
 	dueAt, endedAt time.Duration
-	// work is each task's true time.
+	// runTimes are the tasks' real run times.
 	runTimes []time.Duration
 	status   coordinator.Status
 	reason   coordinator.Reason
-	// visits counts the times it came; at returns it comes again.
+	// submissions counts how often the caller submitted the job; submit submits it again.
 	submissions int
 	submit      func()
 	workDone    float64
-	// demand is each task's processor; the others tell of a refusal.
+	// demand is the processor that each task needs. refusedAtOnce: the refusal came without a wait;
+	// hadFreeCapacity: all tasks would have fitted on workers then.
 	demand                         int64
 	refusedAtOnce, hadFreeCapacity bool
 }
@@ -189,7 +195,7 @@
 	return m
 }
 
-// weightOf is the processor of a strong daemon, or of another, in cores.
+// processorCores is the processor in cores of a strong daemon, or of another one.
 func processorCores(strong bool) float64 {
 	if strong {
 		return 0.8
@@ -245,10 +251,10 @@
 	}
 }
 
-// play runs the load and returns its figures.
+// runLoad simulates the workload and returns its results.
 func runLoad(l workload, seed uint64) results { return runModel(l, seed).results() }
 
-// played runs the load and returns the model at its end.
+// runModel simulates the workload and returns the model at its end.
 func runModel(l workload, seed uint64) *model {
 	m := newModel(l, seed)
 	for i := range l.kinds {
@@ -266,7 +272,7 @@
 	return m
 }
 
-// retire tells all daemons which failure domains are retired now.
+// retire sends the currently retired failure domains to all daemons.
 func (m *model) retire() {
 	domains := make(map[string]bool)
 	for z := range m.workload.domains {
@@ -282,7 +288,7 @@
 	}
 }
 
-// drainAt lets a worker drain, and come back, at its times.
+// scheduleDraining schedules the times at which a worker starts and ends draining.
 func (m *model) scheduleDraining(n int) {
 	if m.workload.draining == nil {
 		return
--- a/test/policy/shares_test.go
+++ b/test/policy/shares_test.go
@@ -7,14 +7,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// tolerated is how much less of what is owed a claim within its share may earn beside a burst
-// of another than alone: callers can't tell it from an ordinary day's spread.
+// toleratedLoss is how much less of its credit a group within its share may earn beside a burst of
+// another group than alone: callers can't distinguish it from the usual variation between days.
 const toleratedLoss = 0.03
 
-// shareSeeds is how often these loads are played: a claim is a part of the jobs only.
+// shareSeeds is the number of runs of these workloads. It is larger than seeds, as a group has only a
+// part of the jobs.
 const shareSeeds = 6
 
-// byClaim plays a load and returns the mean credit of all, each kind and each domain's callers.
+// creditByGroup runs a workload and returns the mean credit of all jobs, of each kind, and of each
+// failure domain's callers.
 func creditByGroup(l workload) map[string]float64 {
 	mean := make(map[string]float64)
 	for seed := range uint64(shareSeeds) {
@@ -31,8 +33,8 @@
 
 func inBurst(at time.Duration) bool { return at > 5*time.Second && at < 12*time.Second }
 
-// A burst of one kind of request, or of one failure domain's callers, that is paid for by the
-// others: together they asked for more than there is, and the first who came got it.
+// A burst of one kind of jobs, or of one failure domain's callers, delays the others: together they
+// request more than the capacity, and whoever comes first gets it.
 func TestBurstDoesNotHarmOthers(t *testing.T) {
 	t.Parallel()
 	alone := creditByGroup(fourDomains(rate75))
@@ -57,8 +59,8 @@
 		name   string
 		load   workload
 		others []string
-		// least is what all earn: shares must not cost more than the worth that the burst claims for
-		// itself by the room of the others.
+		// least is the least credit of all jobs: shares must not cost more than the burst could earn
+		// with the capacity of the others.
 		least float64
 	}{
 		{"one kind at 1.5 times", kind(1.5), []string{"long", "pairs"}, 0.97},
--- a/test/policy/speeds_test.go
+++ b/test/policy/slowworkers_test.go
@@ -7,13 +7,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowTimes is how many times as long runs take on workers that turn slow.
+// slowdownFactor is how many times as long tasks run on workers that are slow.
 const slowdownFactor = 6
 
-// load73WithLong keeps a fleet of fourDomains busy to 73% of its room where 3 in 100 jobs are long.
+// rate73WithLong is the jobs a second that use 73% of the capacity of fourDomains if 3 in 100 jobs are long.
 const rate73WithLong = 128
 
-// fifthFrom tells whether a worker is of the fifth that a disturbance of some seconds takes.
+// inDisturbedFifth reports whether a worker is one of the fifth that a disturbance affects at a time.
 func inDisturbedFifth(worker int, at, begin, end time.Duration) bool {
 	return worker%5 == 0 && at >= begin && at < end
 }
@@ -25,10 +25,10 @@
 	return 1
 }
 
-// A fifth of the workers turn six times slower for six seconds, and are as before then. They are
-// found at once, and left out: callers are served nearly as well as if these workers were drained
-// and came back. Three in a hundred jobs take seven times as long on any worker; no worker is left
-// out for those.
+// A fifth of the workers is six times slower for six seconds, and recovers then. The daemons detect
+// and exclude these workers at once: callers are served nearly as well as if the workers were draining
+// for that time. Three in a hundred jobs run seven times as long on any worker; the daemons exclude no
+// worker because of these.
 func TestFifthOfWorkersTurnsSlow(t *testing.T) {
 	t.Parallel()
 	slow, gone, usual := fourDomains(rate73WithLong), fourDomains(rate73WithLong), fourDomains(rate73WithLong)
@@ -40,15 +40,16 @@
 		l.longShare = 0.03
 	}
 	s, g, u := meanOfSeeds(t, slow), meanOfSeeds(t, gone), meanOfSeeds(t, usual)
-	// What runs on them as they turn can't all be saved: two tasks a worker, most too short to
-	// begin again in time. Drained workers end theirs.
+	// Not all tasks that run on these workers when they become slow can be on time: two a worker, most
+	// too short to start again in time. Draining workers complete theirs.
 	assert.Assert(t, s.credit > g.credit-0.025)
 	assert.Assert(t, s.credit > 0.955)
 	assert.Assert(t, u.credit > 0.97)
 }
 
-// A third of the workers always take two and a half times as long. What is in time there runs there,
-// the rest on the others; what is told of workers serves nearly as well as knowing it all in one place.
+// A third of the workers always takes two and a half times as long. Tasks that are on time there run
+// there, the others on other workers. The reports on workers serve nearly as well as a single queue
+// that knows all of them.
 func TestThirdOfWorkersIsSlower(t *testing.T) {
 	t.Parallel()
 	l := fourDomains(100)
@@ -63,8 +64,8 @@
 	assert.Assert(t, f.credit > best.credit-0.02)
 }
 
-// All workers take longer than declared, as callers declare too little. None of them is slow by
-// that, and all room is used.
+// All workers take longer than declared, as callers declare too short run times. No worker is excluded
+// as slow because of this, and the fleet uses all capacity.
 func TestAllWorkersSlowerThanDeclared(t *testing.T) {
 	t.Parallel()
 	l := fourDomains(90)
@@ -74,8 +75,8 @@
 	assert.Assert(t, f.failed < f.jobs/200)
 }
 
-// Callers declare half as much again as tasks take, and ask by that for a quarter more than there
-// is. There is room for them, and they are served.
+// Callers declare run times that are half as long again as the real ones, and so request a quarter
+// more than the capacity. The real run times fit, and the fleet serves the jobs.
 func TestRunTimesDeclaredTooLong(t *testing.T) {
 	t.Parallel()
 	l := fourDomains(rate125)
--- a/test/policy/uneven_test.go
+++ b/test/policy/unevencallers_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// oneTo is the rate of one of n callers' groups, of which one comes k times as often as each
-// other, compared with a mean of 1.
+// relativeRate is the rate of one of n groups of callers, compared with a mean of 1, if one group
+// submits ratio times as many jobs as each other.
 func relativeRate(ratio float64, frequent bool, n int) float64 {
 	mean := (ratio + float64(n-1)) / float64(n)
 	if frequent {
@@ -18,9 +18,9 @@
 	return 1 / mean
 }
 
-// Callers come unevenly, by a hash, to the daemons of a failure domain, and unevenly from the
-// failure domains, one after the other more often. Who decides is not who has the room: served
-// by the room that is near alone, the callers of the busy ones came late.
+// A hash distributes callers unevenly to the daemons of a failure domain, and one failure domain after
+// the other has more callers. The daemons that accept most jobs aren't those with free capacity: if
+// only near capacity serves them, the callers of the busy daemons get late answers.
 func TestUnevenCallers(t *testing.T) {
 	for _, perSecond := range []float64{rate75, 0.9 * rate100} {
 		for _, k := range []float64{2, 4, 8} {
--- a/test/policy/wide_test.go
+++ b/test/policy/wide_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Classes of the jobs of a kind by their number of tasks: the widest tenth, the fifth below it,
-// and the rest.
+// The classes of a kind's jobs by their number of tasks: the widest tenth, the fifth below it, and
+// the rest.
 const (
 	widest = iota
 	nextFifth
@@ -21,7 +21,7 @@
 // byWidth counts the jobs of each kind by class of width.
 type byWidth map[string]*[widthClasses]results
 
-// played adds what came of a load.
+// add adds the results of a model.
 func (b byWidth) add(m *model) {
 	kinds := make(map[string][]*job)
 	for _, j := range m.jobs {
@@ -47,7 +47,7 @@
 	}
 }
 
-// onTimeShare is the part of the jobs that were on time.
+// onTimeShare is the share of jobs on time.
 func onTimeShare(list ...results) float64 {
 	jobs, onTime := 0, 0
 	for _, f := range list {
@@ -56,9 +56,9 @@
 	return float64(onTime) / float64(max(jobs, 1))
 }
 
-// Jobs of 12 to 30 tasks at loads up to the whole room: each task may wait at another executor,
-// and the job is as late as the last. The widest tenth of each kind is on time at least 0.95
-// times as often as its kind, and the kind nearly as often as with one queue.
+// Jobs of 12 to 30 tasks at loads up to the full capacity: each task may wait at another executor, and
+// the last one delays the job. The widest tenth of each kind is on time at least 0.95 times as often
+// as its kind, and the kind nearly as often as with a single queue.
 func TestWideJobsOnTimeLikeTheRest(t *testing.T) {
 	for name, l := range map[string]workload{
 		"three quarters": fourDomains(rate75), "full": fourDomains(rate100), "half a worker each": smallDaemons(350),
@@ -84,8 +84,8 @@
 	}
 }
 
-// Load: a quarter more is asked for than there is. What is done of it is at least 0.93 of what
-// one queue does: tasks don't wait while there is room for them elsewhere.
+// Callers submit a quarter more than the capacity. The fleet earns at least 0.93 of the credit of a
+// single queue: tasks don't wait while there is free capacity for them elsewhere.
 func TestOverloadComparedWithSingleQueue(t *testing.T) {
 	t.Parallel()
 	l := fourDomains(rate125)
--- a/test/policy/worker_test.go
+++ b/test/policy/worker_test.go
@@ -7,7 +7,7 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// worker is one backend server.
+// worker simulates one backend server.
 type worker struct {
 	m         *model
 	number    int
@@ -15,23 +15,24 @@
 	used      int64
 	running   map[task.ID]executor.Call
 	startedAt map[task.ID]time.Duration
-	// stopped is the highest run of each task that was stopped here: it is not begun after.
+	// stoppedRuns is the highest stopped run number of each task: the worker doesn't start such a run
+	// later.
 	stoppedRuns    map[task.ID]uint32
 	completions    []executor.Completion
 	poll           *pendingPoll
 	lastCompletion uint64
 }
 
-// standing is a poll that waits for an end.
+// pendingPoll is a poll that waits for a run to end.
 type pendingPoll struct {
 	from *daemon
 	call executor.Call
 }
 
-// lateBy is how much later an order is carried out that got no answer.
+// lateExecutionDelay is how much later the worker executes an order that it doesn't answer.
 const lateExecutionDelay = 3 * time.Second
 
-// take carries out an order and answers it, unless it leaves it for later.
+// handleOrder executes an order and answers it, or leaves it unanswered and executes it later.
 func (w *worker) handleOrder(from *daemon, c executor.Call) {
 	if c.Kind != executor.CallPoll && w.m.otherRand.Float64() < w.m.workload.unansweredShare {
 		w.m.at(w.m.now+lateExecutionDelay, func() { w.execute(c) })
@@ -47,7 +48,7 @@
 	w.answer(from, c, w.execute(c))
 }
 
-// obey carries out a start or a stop.
+// execute executes a start or a stop.
 func (w *worker) execute(c executor.Call) executor.Answer {
 	a := executor.Answer{Verdict: executor.OK, Clock: w.clock()}
 	switch c.Kind {
@@ -81,10 +82,10 @@
 	w.m.at(w.endTime(w.m.now, w.m.jobs[c.ID.Job].runTimes[c.ID.Index]), func() { w.end(c.ID, c.Run, true) })
 }
 
-// speedStep is the time for which a worker's speed counts as constant.
+// speedStep is the time step within which a worker's speed is constant.
 const speedStep = 10 * time.Millisecond
 
-// endOf is when work that is begun now ends, at the speeds that the load gives the worker.
+// endTime is when a run that starts now ends, at the worker's slowdown in the workload.
 func (w *worker) endTime(now, work time.Duration) time.Duration {
 	if w.m.workload.slowdown == nil {
 		return now + work
@@ -99,7 +100,7 @@
 	}
 }
 
-// percent is how much of a run is done.
+// percent is how much of a run is complete.
 func (w *worker) percent(id task.ID) int {
 	work, began := w.m.jobs[id.Job].runTimes[id.Index], w.startedAt[id]
 	if w.m.workload.slowdown == nil {
