--- a/test/measure/start_test.go
+++ b/test/measure/start_test.go
@@ -13,8 +13,8 @@
 	"github.com/lavendercleat/lavendercleat/test/cluster"
 )
 
-// BenchmarkStartCost measures what a task start costs one daemon in processor time and
-// memory, by starts per second and tasks per job.
+// BenchmarkStartCost measures the processor time and the memory that a task start costs one daemon.
+// It varies the starts per second and the tasks per job.
 func BenchmarkStartCost(b *testing.B) {
 	for _, s := range []struct {
 		tasks  int32
