--- a/test/interleave/arbitration_test.go
+++ b/test/interleave/arbitration_test.go
@@ -1,3 +1,5 @@
+// The simulated daemon's arbitration: which daemon may start a job, and the quiescence checks for it.
+
 package interleave
 
 import (
--- a/test/interleave/checker_test.go
+++ b/test/interleave/checker_test.go
@@ -1,3 +1,5 @@
+// The check of what the workers run.
+
 package interleave
 
 import (
--- a/test/interleave/daemon_test.go
+++ b/test/interleave/daemon_test.go
@@ -1,3 +1,6 @@
+// The simulated daemon: it passes messages, reports and orders between its coordinator, its executor, the
+// other daemons and the workers.
+
 package interleave
 
 import (
@@ -14,6 +17,7 @@
 )
 
 const (
+	// tickInterval is the time between two ticks of a daemon.
 	tickInterval = 25 * time.Millisecond
 	// lease is by how much each order to a worker extends the time until which its runs may go on.
 	lease = 800 * time.Millisecond
--- a/test/interleave/eventqueue_test.go
+++ b/test/interleave/eventqueue_test.go
@@ -1,3 +1,5 @@
+// The queue of events in virtual time.
+
 package interleave
 
 import (
--- a/test/interleave/link_test.go
+++ b/test/interleave/link_test.go
@@ -1,3 +1,5 @@
+// The simulated link between two daemons, with sessions, heartbeats and dials.
+
 package interleave
 
 import "time"
--- a/test/interleave/scenario_test.go
+++ b/test/interleave/scenario_test.go
@@ -1,3 +1,5 @@
+// Scenarios and their faults, and the effects of faults on the simulation.
+
 package interleave
 
 import (
--- a/test/interleave/worker_test.go
+++ b/test/interleave/worker_test.go
@@ -1,3 +1,5 @@
+// The simulated worker: it runs tasks under leases and fencing tokens, and answers starts, stops and polls.
+
 package interleave
 
 import (
--- a/test/interleave/world_test.go
+++ b/test/interleave/world_test.go
@@ -1,3 +1,5 @@
+// The simulation of one scenario: its daemons, workers and caller.
+
 package interleave
 
 import (
--- a/test/measure/catchup_test.go
+++ b/test/measure/catchup_test.go
@@ -1,3 +1,5 @@
+// The benchmark of an entry's fetch of the state from a peer.
+
 package measure
 
 import (
--- a/test/measure/control_test.go
+++ b/test/measure/control_test.go
@@ -1,3 +1,5 @@
+// The benchmark of an idle daemon's cost.
+
 package measure
 
 import (
--- a/test/measure/start_test.go
+++ b/test/measure/start_test.go
@@ -1,3 +1,5 @@
+// The benchmark of a task start's cost.
+
 package measure
 
 import (
--- a/test/policy/arrivals_test.go
+++ b/test/policy/arrivals_test.go
@@ -1,3 +1,5 @@
+// The arrivals of simulated jobs.
+
 package policy
 
 import (
--- a/test/policy/competingload_test.go
+++ b/test/policy/competingload_test.go
@@ -1,3 +1,5 @@
+// A workload of callers who compete for scarce capacity, and the check of refusals against free capacity.
+
 package policy
 
 import (
--- a/test/policy/daemon_test.go
+++ b/test/policy/daemon_test.go
@@ -1,3 +1,6 @@
+// The simulated daemon: it passes messages between its coordinator, its executor, the other daemons and the
+// workers.
+
 package policy
 
 import (
--- a/test/policy/model_test.go
+++ b/test/policy/model_test.go
@@ -1,3 +1,5 @@
+// The workload of a test, and the simulation of its fleet and callers.
+
 package policy
 
 import (
--- a/test/policy/worker_test.go
+++ b/test/policy/worker_test.go
@@ -1,3 +1,5 @@
+// The simulated worker: it runs tasks at a speed that the workload sets, and answers starts, stops and polls.
+
 package policy
 
 import (
