--- a/config/intent.go
+++ b/config/intent.go
@@ -21,7 +21,7 @@
 const (
 	// Init writes the first document.
 	Init Action = "init"
-	// Restore writes the document in force to a platform that has returned with an older one.
+	// Restore writes the document in force back to a platform that was restored from an older copy.
 	Restore Action = "restore"
 	// DrainWorker and UndrainWorker stop and resume new work on one worker.
 	DrainWorker   Action = "drain-worker"
--- a/config/plan.go
+++ b/config/plan.go
@@ -190,8 +190,8 @@
 }
 
 // Diverged reports whether two documents have the same revision but different contents. That happens if
-// the platform's service returns with an older document, and an operator changes it before the entries
-// with the newer document report it.
+// the platform is restored from an older copy, and an operator changes that copy before the entries with
+// the newer document report it.
 func Diverged(a, b *schema.Config) bool {
 	return a.GetRevision() == b.GetRevision() && !proto.Equal(a, b)
 }
--- a/internal/backend/breakpoint_test.go
+++ b/internal/backend/breakpoint_test.go
@@ -151,9 +151,9 @@
 	}
 }
 
-// A worker breaks a reused connection at each point of a task. The client must send the task at most once, and may
-// report "not run" only if the worker read nothing of it. If net/http resent the request, the task would start
-// twice. After a wrong "not run", the dispatcher would start it again.
+// A worker breaks a reused connection at each point of a task. The client must send the task at most once,
+// and may report "not run" only if the worker read nothing of it. If net/http resent the request, the task
+// would start twice. After a wrong "not run", the dispatcher would start it again.
 func TestTaskIsNeverSentTwice(t *testing.T) {
 	for point := replyAndKeep; point < breakPointCount; point++ {
 		t.Run(fmt.Sprint("break point ", int(point)), func(t *testing.T) {
@@ -184,8 +184,8 @@
 	}
 }
 
-// checkPartial checks that the client reported each request of which the server read only one byte as one that may
-// have run.
+// checkPartial checks that the client reported each request of which the server read only one byte as one
+// that may have run.
 func (s *rawServer) checkPartial(t *testing.T, failures []*verdict.Failure) {
 	t.Helper()
 	mayHaveRun := 0
@@ -205,9 +205,9 @@
 	return s.read[strconv.Itoa(task)], s.partial
 }
 
-// Many concurrent tasks use connections that break at random points. Some tasks are canceled at random times, also
-// while their request is being written. The server must never read a request that was reported as "not run", before
-// or after the verdict. It must read no request twice, and each successful one once.
+// Many concurrent tasks use connections that break at random points. Some tasks are canceled at random times,
+// also while their request is being written. The server must never read a request that was reported as "not
+// run", before or after the verdict. It must read no request twice, and each successful one once.
 func TestVerdictsHoldUnderRandomConnectionFailures(t *testing.T) {
 	s := newRawServer(t, func(int) breakPoint { return breakPoint(rand.IntN(int(breakPointCount))) })
 	c := newTestClient(t)
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -48,7 +48,8 @@
 	pools map[string]*pool
 }
 
-// pool holds the connections to one worker. Connections for idempotent tasks may be idle for longer than others.
+// pool holds the connections to one worker. Connections for idempotent tasks may be idle for longer than
+// others.
 type pool struct {
 	idempotent    *http.Transport
 	nonIdempotent *http.Transport
@@ -208,8 +209,8 @@
 	return c.readResponse(ctx, p, resp, t)
 }
 
-// newRequest builds the HTTP request. It hides the type of the body: for types that net/http knows, net/http sets
-// GetBody and may then resend the request by itself when a reused connection breaks.
+// newRequest builds the HTTP request. It hides the type of the body: for types that net/http knows, net/http
+// sets GetBody and may then resend the request by itself when a reused connection breaks.
 func (c *Client) newRequest(ctx context.Context, t Task) (*http.Request, error) {
 	body := io.NopCloser(bytes.NewReader(t.Payload))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.Worker+t.Path, body)
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -15,9 +15,10 @@
 
 // trackedConn is a connection that knows whether bytes of a request may have been sent.
 //
-// net/http may report an error before its writing goroutine starts, or while it runs. So the error alone does not
-// prove that nothing was sent. A write after a "not run" verdict would start a task whose caller was told that it did
-// not start, or start the task twice. The lock orders writes and verdicts: no byte is sent after seal.
+// net/http may report an error before its writing goroutine starts, or while it runs. So the error alone does
+// not prove that nothing was sent. A write after a "not run" verdict would start a task whose caller was told
+// that it did not start, or start the task twice. The lock orders writes and verdicts: no byte is sent after
+// seal.
 type trackedConn struct {
 	net.Conn
 	mu     sync.Mutex
@@ -28,11 +29,12 @@
 	deadline time.Time
 }
 
-// Write counts the call before it writes to the socket. It undoes the count only if the kernel accepted no byte.
+// Write counts the call before it writes to the socket. It undoes the count only if the kernel accepted no
+// byte.
 func (c *trackedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	// The process may have been frozen since the deadline was last checked. Its timers fire only some time after
-	// it resumes. A task sent before that would start after its caller has stopped waiting.
+	// The process may have been frozen since the deadline was last checked. Its timers fire only some time
+	// after it resumes. A task sent before that would start after its caller has stopped waiting.
 	if !c.deadline.IsZero() && !time.Now().Before(c.deadline) {
 		c.sealed = true
 	}
@@ -65,7 +67,8 @@
 	return c.writes
 }
 
-// seal prevents further writes and reports whether data may have been sent since writeCount returned writesBefore.
+// seal prevents further writes and reports whether data may have been sent since writeCount returned
+// writesBefore.
 func (c *trackedConn) seal(writesBefore int) (sent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -24,8 +24,8 @@
 	assert.Equal(t, len(b), 0)
 }
 
-// After a write that the kernel accepted completely or in part, seal must report that data may have been sent. After
-// a write of which the kernel accepted nothing, it must not.
+// After a write that the kernel accepted completely or in part, seal must report that data may have been
+// sent. After a write of which the kernel accepted nothing, it must not.
 func TestSealReportsPartialWrites(t *testing.T) {
 	local, remote := net.Pipe()
 	conn := &trackedConn{Conn: local}
--- a/internal/backend/deadline_test.go
+++ b/internal/backend/deadline_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// An entry is frozen right before it writes a task, and resumes after the deadline. The connection must refuse the
-// bytes, so that the verdict "not run" stays true.
+// An entry is frozen right before it writes a task, and resumes after the deadline. The connection must
+// refuse the bytes, so that the verdict "not run" stays true.
 func TestNoWriteAfterDeadline(t *testing.T) {
 	local, remote := net.Pipe()
 	defer remote.Close()
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,11 +1,11 @@
-// Package clock provides the time on the process's monotonic clock, detects pauses of the process, and sleeps until
-// a context ends.
+// Package clock provides the time on the process's monotonic clock, detects pauses of the process, and sleeps
+// until a context ends.
 package clock
 
 import "time"
 
-// Clock counts from its creation. The monotonic clock continues while the process is frozen. So when the process
-// resumes, it sees that a deadline has passed meanwhile.
+// Clock counts from its creation. The monotonic clock continues while the process is frozen. So when the
+// process resumes, it sees that a deadline has passed meanwhile.
 type Clock struct{ start time.Time }
 
 // New returns a clock that starts at zero now.
--- a/internal/clock/pause.go
+++ b/internal/clock/pause.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// PauseThreshold is the time without a tick from which the process counts as paused. It is far above the
-	// delays of scheduling and garbage collection, and below the time after which peers use a silent entry's
-	// slots.
+	// PauseThreshold is how late a periodic step may be before the process counts as paused. It is far above
+	// the delays of scheduling and garbage collection, and below the time after which peers use a silent
+	// entry's slots.
 	PauseThreshold = time.Second
 	// drainDuration is the time after a pause within which a process that gets enough processor time has read
 	// the requests that waited in its sockets.
 	drainDuration = time.Second
-	// maxTickDelay is the time between ticks up to which the process counts as getting enough processor time. It
-	// is ten times the usual time between ticks.
+	// maxTickDelay is the time between ticks up to which the process counts as getting enough processor time.
+	// It is ten times the usual time between ticks.
 	maxTickDelay = 100 * time.Millisecond
-	// maxDrainDuration limits the drain of a process that never gets enough processor time. Until the drain ends,
-	// new requests count as old too, and the process refuses most of them.
+	// maxDrainDuration limits the drain of a process that never gets enough processor time. Until the drain
+	// ends, new requests count as old too, and the process refuses most of them.
 	maxDrainDuration = 5 * time.Second
 )
 
-// PauseDetector detects pauses of the process. Requests that waited unread during a pause must not count as new,
-// because their callers may have stopped waiting long ago. It is safe for concurrent use.
+// PauseDetector detects pauses of the process. Requests that waited unread during a pause must not count as
+// new, because their callers may have stopped waiting long ago. It is safe for concurrent use.
 type PauseDetector struct {
 	mu sync.Mutex
 	// lastTick is the time of the latest tick.
--- a/internal/clock/pause_test.go
+++ b/internal/clock/pause_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A process is paused for 30 s. A request that it reads right after the pause may have arrived when the pause began,
-// and must not count as new. A request that it reads before or later has just arrived.
+// A process is paused for 30 s. A request that it reads right after the pause may have arrived when the pause
+// began, and must not count as new. A request that it reads before or later has just arrived.
 func TestRequestReadAfterPauseCountsAsOld(t *testing.T) {
 	var p PauseDetector
 	const ms = time.Millisecond
@@ -27,9 +27,9 @@
 	assert.Equal(t, p.EarliestArrival(resumed+1100*ms), resumed+1100*ms)
 }
 
-// A process resumes after a pause but gets little processor time. It reads requests that waited during the pause long
-// after it resumed, or pauses again before it reads them. They must not count as new, or a booking would start after
-// its caller has stopped waiting.
+// A process resumes after a pause but gets little processor time. It reads requests that waited during the
+// pause long after it resumed, or pauses again before it reads them. They must not count as new, or a booking
+// would start after its caller has stopped waiting.
 func TestDrainIsExtendedOnBusyMachine(t *testing.T) {
 	const ms, resumed = time.Millisecond, 5 * time.Second
 	for name, c := range map[string]struct {
--- a/internal/entry/callerapi.go
+++ b/internal/entry/callerapi.go
@@ -167,7 +167,7 @@
 		body:   body,
 	})
 	if c.Request.Context().Err() != nil {
-		// The caller did not receive the identifier, so nobody can request the answer.
+		// The caller did not receive the identifier, so no caller can request the answer.
 		a.router.submissions.cancel(id.String())
 	}
 	a.writeReply(c, resp)
--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -187,8 +187,8 @@
 }
 
 // detectPause detects that the process was paused. Each tick is a step, so a long time since the latest
-// step shows the pause. After a pause, starts are held before the event is handled: peers may have given
-// this entry's slots to others meanwhile, and workers may have left.
+// step shows the pause. After a pause, detectPause stops task starts before the event is handled, because
+// peers may have given this entry's slots to others meanwhile, and workers may have left.
 func (d *dispatcher) detectPause(now time.Duration) {
 	late := now - d.lastStep
 	first := d.lastStep == 0
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -102,7 +102,7 @@
 	return r.replyOwnerUnreachable(req)
 }
 
-// replyOwnerGone returns a final reply. Either the owner is dead, so nobody may start its tasks any more,
+// replyOwnerGone returns a final reply. Either the owner is dead, so no process may start its tasks any more,
 // or the time in which it may start them and report an answer is over. It is not known which tasks it
 // started.
 func (r *router) replyOwnerGone(req callerRequest) reply {
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -19,7 +19,8 @@
 )
 
 const (
-	// handoverPartBytes is the size at which a part of a handover is sent. One larger answer makes a larger part.
+	// handoverPartBytes is the size at which a part of a handover is sent. One larger answer makes a larger
+	// part.
 	handoverPartBytes = 4 << 20
 	// handoverCallTimeout bounds the wait for a successor's reply to one part.
 	handoverCallTimeout = 3 * time.Second
--- a/internal/entry/job_test.go
+++ b/internal/entry/job_test.go
@@ -12,7 +12,7 @@
 
 // FuzzCheckJob checks bodies that callers may send. Checking must not panic. A refusal must have a message of
 // bounded length. An accepted job must have a number of tasks within the limit, each with a JSON payload, and
-// must be unchanged when it is encoded and decoded again.
+// must keep its deadline and number of tasks when it is encoded and decoded again.
 func FuzzCheckJob(f *testing.F) {
 	nested := strings.Repeat("[", 5000) + strings.Repeat("]", 5000)
 	for _, seed := range []string{
--- a/internal/entry/watchbackoff.go
+++ b/internal/entry/watchbackoff.go
@@ -21,10 +21,10 @@
 	pauseJitter = 0.25
 )
 
-// watchBackoff decides how long a watch pauses between its calls, because each call loads the platform's
-// service. Some watches fail or return at once every time. An example is a platform that was restored from
-// an older copy, which differs from the document in force at every call. Without pauses, such a watch would
-// call the platform thousands of times a second.
+// watchBackoff decides how long a watch pauses between its calls, because the platform's service counts each
+// call. Some watches fail or return at once every time. An example is a platform that was restored from an
+// older copy, which differs from the document in force at every call. Without pauses, such a watch would call
+// the platform thousands of times a second.
 type watchBackoff struct {
 	backoff *backoff.ExponentialBackOff
 }
--- a/internal/entry/workers.go
+++ b/internal/entry/workers.go
@@ -70,7 +70,7 @@
 	return sched.Resources{CPUs: r.GetCpus(), MemoryMB: r.GetMemoryMb(), Accelerators: r.GetAccelerators()}
 }
 
-// applyVMList removes the notices of leaving workers that the VM list ends.
+// applyVMList applies a VM list to the notices of leaving workers. The list may end notices.
 func (w *workers) applyVMList(l *schema.VmList) {
 	listed := make(map[string]bool, len(l.GetVms()))
 	for _, vm := range l.GetVms() {
--- a/internal/httpstop/httpstop.go
+++ b/internal/httpstop/httpstop.go
@@ -1,6 +1,6 @@
 // Package httpstop stops an HTTP server without cutting off requests that have reached this machine.
-// [http.Server.Shutdown] closes every connection that it knows as idle at once. If the processor is busy, an unread
-// request may wait on such a connection.
+// [http.Server.Shutdown] closes every connection that it knows as idle at once. If the processor is busy, an
+// unread request may wait on such a connection.
 package httpstop
 
 import (
@@ -50,8 +50,9 @@
 	return err
 }
 
-// onceListener closes its listener only once. http.Server closes the listener again when it shuts down. Without
-// onceListener, it would report an error for that after a successful stop, unless its Accept has returned already.
+// onceListener closes its listener only once. http.Server closes the listener again when it shuts down.
+// Without onceListener, it would report an error for that after a successful stop, unless its Accept has
+// returned already.
 type onceListener struct {
 	net.Listener
 	once sync.Once
@@ -75,9 +76,9 @@
 	s.conns[c] = state
 }
 
-// Stop stops accepting connections and waits until all requests that have arrived are answered or ctx ends. A request
-// that is still on its way when its connection is closed gets no answer, because HTTP/1.1 has no message for this. Its
-// caller sends it again.
+// Stop stops accepting connections and waits until all requests that have arrived are answered or ctx ends. A
+// request that is still on its way when its connection is closed gets no answer, because HTTP/1.1 has no
+// message for this. Its caller sends it again.
 func (s *Server) Stop(ctx context.Context) error {
 	err := s.closeListener()
 	t := time.NewTicker(pollInterval)
@@ -118,8 +119,8 @@
 	return len(s.conns)
 }
 
-// hasUnread reports whether a connection has received bytes that were not read. Closing such a connection would reset
-// it, and the caller of a complete request would get no answer.
+// hasUnread reports whether a connection has received bytes that were not read. Closing such a connection
+// would reset it, and the caller of a complete request would get no answer.
 func hasUnread(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/httpstop/httpstop_test.go
+++ b/internal/httpstop/httpstop_test.go
@@ -95,8 +95,8 @@
 	return err
 }
 
-// A request has arrived on an open connection, but the processor is too busy to read it before the server stops. The
-// stop must not cut it off, or its caller gets no answer and sends it again seconds later.
+// A request has arrived on an open connection, but the processor is too busy to read it before the server
+// stops. The stop must not cut it off, or its caller gets no answer and sends it again seconds later.
 func TestStopAnswersUnreadRequest(t *testing.T) {
 	s := startServer(t)
 	s.sendRequest(t)
@@ -135,8 +135,8 @@
 	return c, err
 }
 
-// A busy process stops, and its listener is closed before the server's Accept has returned. The stop must not report
-// this as a failure, or the daemon ends with exit code 1 after a successful stop.
+// A busy process stops, and its listener is closed before the server's Accept has returned. The stop must not
+// report this as a failure, or the daemon ends with exit code 1 after a successful stop.
 func TestStopSucceedsBeforeAcceptReturns(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -144,7 +144,7 @@
 }
 
 // CloseStale closes the connection to a peer if it is older than the peer's process, whose age is given. Such a
-// connection leads to a process that has ended. A call on it would wait until silenceTimeout.
+// connection leads to a process that has ended. A call on it would wait until silenceTimeout has passed.
 func (c *Client) CloseStale(to netip.AddrPort, age time.Duration) { c.link(to).closeStale(age) }
 
 // CloseUnlisted closes the connections to all peers that are not in keep.
--- a/internal/peer/idle_test.go
+++ b/internal/peer/idle_test.go
@@ -23,8 +23,9 @@
 }
 
 // A request waits at its owner for longer than unused connections are kept. CloseIdle must not close its
-// connection, or the caller would be told that the request may have run. Once the connection is unused, CloseIdle
-// closes it. The next request must wait for a new one instead of failing as if the peer were unreachable.
+// connection, or the caller would be told that the request may have run. Once the connection is unused,
+// CloseIdle closes it. The next request must wait for a new one instead of failing as if the peer were
+// unreachable.
 func TestCloseIdleKeepsConnectionInUse(t *testing.T) {
 	cred := newCredentials(t)
 	h := &blockingHandler{started: make(chan struct{}), release: make(chan struct{})}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -16,7 +16,7 @@
 	// failed.
 	errUnreachable = errors.New("the peer is unreachable")
 	// errLinkClosed is returned when the link was closed during the dial.
-	errLinkClosed = errors.New("the link was closed during the dial, as the peer is not listed any more")
+	errLinkClosed = errors.New("the link was closed during the dial")
 )
 
 // link holds the connection to one peer, which all calls share.
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -27,8 +27,8 @@
 	return conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// Many calls wait for a peer that does not answer. All of them must fail when the one shared dial attempt fails,
-// not one after the other, and later calls must fail at once.
+// Many calls wait for a peer that does not answer. All of them must fail when the one shared dial attempt
+// fails, not one after the other, and later calls must fail at once.
 func TestCallsShareDialAttempt(t *testing.T) {
 	t.Parallel()
 	c := NewClient(newCredentials(t), netip.MustParseAddr("127.0.0.1"))
@@ -91,8 +91,9 @@
 	}
 }
 
-// A peer that counts as unreachable restarts and sends a heartbeat. The next call must wait for the connection to
-// the new process. If it failed at once, its caller would be told that a running entry is unreachable.
+// A peer that counts as unreachable restarts and sends a heartbeat. The next call must wait for the
+// connection to the new process. If it failed at once, its caller would be told that a running entry is
+// unreachable.
 func TestCallWaitsForConnectionToRestartedPeer(t *testing.T) {
 	errDial := errors.New("tried")
 	dial := func() (*quic.Conn, error) { return nil, errDial }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -61,8 +61,8 @@
 	return reply, nil
 }
 
-// newCredentialsFor returns credentials of an entry, and credentials of the same authority for another name, such
-// as an operator's or the balancer's.
+// newCredentialsFor returns credentials of an entry, and credentials of the same authority for another name,
+// such as an operator's or the balancer's.
 func newCredentialsFor(t *testing.T, name string) (entry, other Credentials) {
 	t.Helper()
 	ca, caKey, err := newAuthority(time.Now())
@@ -94,8 +94,8 @@
 	assert.Equal(t, h.served.Load(), int64(1))
 }
 
-// A process with another authority's certificate calls an entry and trusts any certificate that the entry shows.
-// It must get no reply, and its request must not reach the handler.
+// A process with another authority's certificate calls an entry and trusts any certificate that the entry
+// shows. It must get no reply, and its request must not reach the handler.
 func TestPeerOfOtherAuthorityIsRejected(t *testing.T) {
 	h, at := newServer(t, newCredentials(t))
 	other := newCredentials(t)
@@ -112,8 +112,8 @@
 	assert.Equal(t, h.served.Load(), int64(0))
 }
 
-// The same authority signed a certificate for something that is not an entry, such as an operator. It must not be
-// accepted from a peer, because entries trust what peers say about teams.
+// The same authority signed a certificate for something that is not an entry, such as an operator. It must
+// not be accepted from a peer, because entries trust what peers say about teams.
 func TestCertificateForOtherNameIsRejected(t *testing.T) {
 	entry, other := newCredentialsFor(t, "operator")
 	h, at := newServer(t, entry)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -87,8 +87,9 @@
 	return err
 }
 
-// closeAll closes every connection and the socket. If it closed only the socket, peers would take the connections
-// for open until silenceTimeout, and send requests on them that another process at this address cannot answer.
+// closeAll closes every connection and the socket. If it closed only the socket, peers would take the
+// connections for open until silenceTimeout has passed, and send requests on them that another process at
+// this address cannot answer.
 func (s *Server) closeAll() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -25,8 +25,8 @@
 	ErrNotFound = errors.New("key not found")
 	// ErrConflict is returned if the key's revision is not the expected one. Nothing was written.
 	ErrConflict = errors.New("revision conflict")
-	// ErrUnavailable is returned if the service does not answer, or answers with an error. A write may have taken
-	// effect.
+	// ErrUnavailable is returned if the service does not answer, or answers with an error. A write may have
+	// taken effect.
 	ErrUnavailable = errors.New("platform unavailable")
 )
 
@@ -61,7 +61,8 @@
 // NewClient returns a client of the service at a base URL, with DefaultTimeout.
 func NewClient(base string) *Client { return NewClientTimeout(base, DefaultTimeout) }
 
-// NewClientTimeout returns a client whose calls end after a timeout. A watch ends after its wait and the timeout.
+// NewClientTimeout returns a client whose calls end after a timeout. A watch ends after its wait and the
+// timeout.
 func NewClientTimeout(base string, timeout time.Duration) *Client {
 	c := &Client{base: base, timeout: timeout}
 	c.Traffic.dialer = tcp.Dialer(dialTimeout, silenceTimeout)
@@ -91,9 +92,9 @@
 	return c.get(ctx, key, 0, url.Values{})
 }
 
-// Watch waits for up to wait until the key's revision differs from the given one, and returns the value. ok is false if
-// the revision has not changed. A store that was restored from an older state has a lower revision, so a change in
-// either direction ends the wait.
+// Watch waits for up to wait until the key's revision differs from the given one, and returns the value. ok
+// is false if the revision has not changed. A store that was restored from an older state has a lower
+// revision, so a change in either direction ends the wait.
 func (c *Client) Watch(ctx context.Context, key string, revision uint64, wait time.Duration) (v Value, ok bool, err error) {
 	v, err = c.get(ctx, key, wait, watchParams(revision, wait))
 	return v, err == nil && v.Revision != revision, err
@@ -133,8 +134,8 @@
 	return v.Revision, nil
 }
 
-// VMs waits for up to wait until the version of the VM list differs from the given one, and returns the list. ok is
-// false if the version has not changed.
+// VMs waits for up to wait until the version of the VM list differs from the given one, and returns the list.
+// ok is false if the version has not changed.
 func (c *Client) VMs(ctx context.Context, version uint64, wait time.Duration) (l *schema.VmList, ok bool, err error) {
 	b, err := c.do(ctx, http.MethodGet, PathVMs+"?"+watchParams(version, wait).Encode(), nil, wait)
 	if err != nil {
@@ -147,8 +148,8 @@
 	return l, l.GetVersion() != version, nil
 }
 
-// do makes one call, during which the service may wait for up to wait. net/http may resend a GET by itself, which does
-// no harm. It never resends a PUT, because the type of the body is hidden.
+// do makes one call, during which the service may wait for up to wait. net/http may resend a GET by itself,
+// which does no harm. It never resends a PUT, because the type of the body is hidden.
 func (c *Client) do(ctx context.Context, method, path string, body []byte, wait time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
 	defer cancel()
--- a/internal/tcp/dialer.go
+++ b/internal/tcp/dialer.go
@@ -10,9 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dialer returns a dialer whose connections fail in three cases: the connection is not made within timeout, sent data
-// stays unacknowledged for silence, or the other end is silent for about silence. Something on the path may have lost
-// track of the connection. Without these limits the kernel would wait for minutes to hours.
+// Dialer returns a dialer whose connections fail in three cases: the connection is not made within timeout,
+// sent data stays unacknowledged for silence, or the other end is silent for about silence. Something on the
+// path may have lost track of the connection. Without these limits the kernel would wait for minutes to
+// hours.
 func Dialer(timeout, silence time.Duration) net.Dialer {
 	const probes = 3
 	probeInterval := max(silence/(probes+1), time.Second)
@@ -23,8 +24,8 @@
 	}
 }
 
-// userTimeout returns a function that limits how long sent data may stay unacknowledged. Without this limit the kernel
-// resends data for minutes on a connection whose other end is gone.
+// userTimeout returns a function that limits how long sent data may stay unacknowledged. Without this limit
+// the kernel resends data for minutes on a connection whose other end is gone.
 func userTimeout(d time.Duration) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var sockErr error
--- a/sched/admit.go
+++ b/sched/admit.go
@@ -145,8 +145,8 @@
 }
 
 // capacity is the number of slots that serve a backlog, now and after the slots lent to
-// peers have returned. An entry with waiting tasks extends no loan, so all lent slots
-// return within one loan term.
+// peers have returned. An entry with waiting tasks lends no slots and recalls the loans that
+// it extends, so the lent slots are expected back after one loan term.
 type capacity struct {
 	now   int
 	later int
--- a/sched/config.go
+++ b/sched/config.go
@@ -71,7 +71,7 @@
 	MaxWaitFraction [High + 1]float64
 	// MaxBacklogFraction is the same limit for the wait behind all waiting jobs together.
 	MaxBacklogFraction float64
-	// PromoteAfterFraction is the fraction of the time to its deadline after which a
+	// PromoteAfterFraction is the fraction of the time to its deadline after which the
 	// scheduler promotes a waiting job. Promoted jobs start before all others, the
 	// earliest deadline first.
 	PromoteAfterFraction float64
--- a/sched/health.go
+++ b/sched/health.go
@@ -47,8 +47,8 @@
 	failRate float64
 	// withheld is the number of slots that are left idle for a while, because the worker
 	// refused a task although it runs others: a task that this entry does not know of
-	// occupies the slot. busyRefusals counts such refusals since a task last succeeded
-	// that had taken the last free slot.
+	// occupies the slot. busyRefusals counts such refusals since the latest success of a
+	// task that had taken the worker's last free slot.
 	withheld     int
 	busyRefusals int
 	// backingOff is set for the backoff after a refusal, ejected after too many failures.
--- a/sched/timer.go
+++ b/sched/timer.go
@@ -40,7 +40,7 @@
 	return last
 }
 
-// setTimer makes the first call of fireTimers at or after the given time call do.
+// setTimer sets a timer: the first call of fireTimers at or after the given time calls do.
 func (s *Scheduler) setTimer(at time.Duration, do func(now time.Duration)) *timer {
 	t := &timer{at: at, call: do}
 	heap.Push(&s.timers, t)
--- a/submission/predecessors.go
+++ b/submission/predecessors.go
@@ -18,7 +18,7 @@
 // Predecessor is a process that stopped and handed over all records that it kept.
 type Predecessor struct {
 	Process Process
-	// Clock is the current time on the clock of the predecessor's identifiers.
+	// Clock is the reading of the clock from which the predecessor minted identifiers.
 	Clock time.Duration
 	// Window is the time after minting within which an identifier of the predecessor had
 	// to be used first.
