--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -114,9 +114,9 @@
 // dropped log lines.
 func newNode(s platform.Settings, c schema.NodeSettings, log *logrus.Logger, logWriter *logging.AsyncWriter) (*node.Node, error) {
 	n, err := node.New(node.Config{
-		Name: s.Name, Domain: s.Domain, Cores: s.Cores, LinkMbps: s.LinkMbps, FirstStart: s.Bootstrap, Address: s.PeerAddress, Listen: c.PeerListen, Seeds: s.SeedPeers, FeedPort: s.RelayAddress.Port(),
-		Lease: min(c.Lease, s.MaxWorkerLease), MaxLease: s.MaxWorkerLease, StopWithin: s.WorkerStopTimeout, EntryTTL: max(c.EntryTtl, s.MinStoreLease),
-		StopDelay: c.StopDelay, StopTimeout: c.StopTimeout, StoreWrites: s.StoreWritesPerSecond, Retention: s.StateRetention,
+		Name: s.Name, Domain: s.Domain, Cores: s.Cores, LinkMbps: s.LinkMbps, Bootstrap: s.Bootstrap, Address: s.PeerAddress, Listen: c.PeerListen, SeedPeers: s.SeedPeers, RelayPort: s.RelayAddress.Port(),
+		Lease: min(c.Lease, s.MaxWorkerLease), MaxLease: s.MaxWorkerLease, WorkerStopTimeout: s.WorkerStopTimeout, EntryTTL: max(c.EntryTtl, s.MinStoreLease),
+		StopDelay: c.StopDelay, StopTimeout: c.StopTimeout, StoreWritesPerSecond: s.StoreWritesPerSecond, StateRetention: s.StateRetention,
 	}, platform.Connect(s), log)
 	if err != nil {
 		return nil, err
--- a/internal/node/cellfeed.go
+++ b/internal/node/cellfeed.go
@@ -178,7 +178,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f := &n.fleet
-	if n.config.FeedPort == 0 || f.cells.Count() == 1 || !f.sync.isRelay {
+	if n.config.RelayPort == 0 || f.cells.Count() == 1 || !f.sync.isRelay {
 		return nil
 	}
 	daemons := f.daemonInfos(n.self)
@@ -188,7 +188,7 @@
 		if r.Address == n.self.Address {
 			return nil
 		}
-		feeds = append(feeds, netip.AddrPortFrom(r.Address.Addr(), n.config.FeedPort))
+		feeds = append(feeds, netip.AddrPortFrom(r.Address.Addr(), n.config.RelayPort))
 	}
 	return feeds
 }
--- a/internal/node/ledgerwrites.go
+++ b/internal/node/ledgerwrites.go
@@ -64,11 +64,11 @@
 // writeInterval is the mean time between this daemon's writes, by its share of the writes that the
 // store accepts.
 func (n *Node) writeInterval() time.Duration {
-	if n.config.StoreWrites <= 0 {
+	if n.config.StoreWritesPerSecond <= 0 {
 		return 0
 	}
 	members := float64(max(len(n.fleet.peers), len(n.fleet.daemons)) + 1)
-	return time.Duration(members / (n.config.StoreWrites * writeShare) * float64(time.Second))
+	return time.Duration(members / (n.config.StoreWritesPerSecond * writeShare) * float64(time.Second))
 }
 
 // write writes one batch and passes the result to the ledger.
@@ -110,7 +110,7 @@
 		state := n.applyLedgerEvent(now, id, event)
 		n.notifyCallers(id, event.Kind)
 		if state != 0 {
-			n.durable.states.put(id, knownState{state, n.self.Incarnation, now}, n.config.Retention)
+			n.durable.states.put(id, knownState{state, n.self.Incarnation, now}, n.config.StateRetention)
 			reported = append(reported, &schema.JobState{Job: id, State: uint32(state)})
 		}
 	}
@@ -172,7 +172,7 @@
 	n.markLedgerInUse()
 	for _, s := range states {
 		state := ledger.State(s.GetState())
-		n.durable.states.put(s.GetJob(), knownState{state, p.Incarnation, now}, n.config.Retention)
+		n.durable.states.put(s.GetJob(), knownState{state, p.Incarnation, now}, n.config.StateRetention)
 		if state == ledger.Canceled && n.durable.ledger.Has(s.GetJob()) {
 			n.coordinator.Cancel(now, s.GetJob())
 			n.durable.ledger.SetFinalState(now, s.GetJob(), state)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,21 +31,21 @@
 	// Cores is the processor share that the VM gives the daemon; 0: not known. Daemons divide the
 	// workers in proportion to it.
 	Cores float64
-	// FirstStart: all daemons start for the first time, and none has a registry entry yet.
-	FirstStart bool
+	// Bootstrap: all daemons start for the first time, and none has a registry entry yet.
+	Bootstrap bool
 	// Address is the address at which peers reach the daemon.
 	Address netip.AddrPort
 	// Listen is the address to listen on for peers when it differs from Address.
 	Listen netip.AddrPort
-	// Seeds are addresses of peers to try first.
-	Seeds []netip.AddrPort
-	// FeedPort is the port on which the daemon serves the registry entries that it has read to
+	// SeedPeers are addresses of peers to try first.
+	SeedPeers []netip.AddrPort
+	// RelayPort is the port on which the daemon serves the registry entries that it has read to
 	// relays of other cells. It is the same on all VMs; 0: the daemon serves none, and every relay
 	// reads the store.
-	FeedPort uint16
-	// Lease is how long each order extends a worker's lease on its runs. MaxLease and StopWithin
+	RelayPort uint16
+	// Lease is how long each order extends a worker's lease on its runs. MaxLease and WorkerStopTimeout
 	// are the workers' own bounds.
-	Lease, MaxLease, StopWithin time.Duration
+	Lease, MaxLease, WorkerStopTimeout time.Duration
 	// EntryTTL is the time to live of the daemon's registry entry after its last renewal.
 	EntryTTL time.Duration
 	// StopDelay is how long a stopping daemon continues to serve, until the load balancer has
@@ -53,11 +53,11 @@
 	StopDelay time.Duration
 	// LinkMbps is the capacity of the VM's network link in Mbit/s; 0: not known.
 	LinkMbps float64
-	// StoreWrites is the number of writes per second that the store accepts from all daemons
+	// StoreWritesPerSecond is the number of writes per second that the store accepts from all daemons
 	// together; 0: unlimited.
-	StoreWrites float64
-	// Retention is how long callers can query the state of an ended job.
-	Retention time.Duration
+	StoreWritesPerSecond float64
+	// StateRetention is how long callers can query the state of an ended job.
+	StateRetention time.Duration
 	// StopTimeout bounds the wait for jobs in flight after StopDelay.
 	StopTimeout time.Duration
 }
@@ -118,13 +118,13 @@
 		Process: member.Process{Address: c.Address, Incarnation: rand.Uint64()},
 		Name:    c.Name, Domain: c.Domain, Weight: c.Cores,
 	}
-	n.executor = executor.New(executor.Config{Lease: c.Lease, MaxLease: c.MaxLease, StopTimeout: c.StopWithin, TokenSource: tokenSource(n.self.Incarnation)})
+	n.executor = executor.New(executor.Config{Lease: c.Lease, MaxLease: c.MaxLease, StopTimeout: c.WorkerStopTimeout, TokenSource: tokenSource(n.self.Incarnation)})
 	n.coordinator = coordinator.New(n.self.Process)
 	n.arbiters.Arbiter, n.starts = arbiter.New(), arbiter.NewClient(n.self.Process, (*startView)(n))
 	n.fleet = newFleetView()
 	n.fleet.sync.copyLimiter.Mbps, n.configuration.copyLimiter.Mbps = c.LinkMbps, c.LinkMbps
 	n.quiescence = newQuiescenceChecks()
-	n.durable = newDurableJobs(n.self, c.Retention)
+	n.durable = newDurableJobs(n.self, c.StateRetention)
 	var err error
 	if n.mesh, err = mesh.New(n.self, c.Listen, (*peerHandler)(n)); err != nil {
 		return nil, err
--- a/internal/node/ownerwatch.go
+++ b/internal/node/ownerwatch.go
@@ -134,7 +134,7 @@
 		n.ownersCheckFailed(err)
 		return
 	}
-	expired := ledger.ExpiredStates(states, time.Now().Add(-2*(n.config.Retention+stateMargin)))
+	expired := ledger.ExpiredStates(states, time.Now().Add(-2*(n.config.StateRetention+stateMargin)))
 	for batch := range slices.Chunk(expired, ledger.MaxRows) {
 		if _, err := n.platform.Ledger.Write(n.ctx, ledger.Change{Remove: batch}); err != nil {
 			n.ownersCheckFailed(err)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -66,7 +66,7 @@
 // power of a large fleet, all daemons would first link with all seeds, also those of other cells.
 // That would take small VMs half a second.
 func (n *Node) linkDaemons() {
-	if n.config.FirstStart {
+	if n.config.Bootstrap {
 		clock.Sleep(n.ctx, firstStartWait)
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, daemonListTimeout)
@@ -81,7 +81,7 @@
 		n.applyDaemons(now, items)
 		n.fleet.daemonsListed = err == nil && len(n.fleet.daemonInfos(n.self)) > 1
 	})
-	n.mesh.AddPeers(n.config.Seeds...)
+	n.mesh.AddPeers(n.config.SeedPeers...)
 }
 
 // linkNamed links daemons that a peer names, unless they belong to another cell.
--- a/test/cluster/doc.go
+++ b/test/cluster/doc.go
@@ -2,6 +2,6 @@
 // real processes: entries, and stand-ins for the backend servers and the platform's service.
 //
 // Every TCP link to a backend server or to the platform runs through a proxy (toxiproxy or a
-// TCPRelay), and every link between peers through a UDP relay. Tests can therefore break a link or
+// TCPProxy), and every link between peers through a UDPProxy. Tests can therefore break a link or
 // drop its data. They can also kill, freeze and restart a process; it keeps its address.
 package cluster
