--- a/schema/load_plain.go
+++ b/schema/load_plain.go
@@ -110,8 +110,8 @@
 	Windows []LoadWindow `json:"windows,omitempty"`
 	// Response time divided by ideal response time for each class, in the profile's order.
 	Classes []LoadClassReport `json:"classes"`
-	// Average number of slots that the sent jobs occupy: the sum of their run times divided by the length
-	// of the run.
+	// Average number of slots that the sent jobs would occupy: the sum of their run times divided by the
+	// length of the run.
 	OfferedSlots float64 `json:"offered_slots"`
 }
 
--- a/schema/operator_plain.go
+++ b/schema/operator_plain.go
@@ -13,7 +13,7 @@
 	Settings []string `json:"settings,omitempty"`
 	// First document in protobuf's JSON format, for init.
 	Document string `json:"document,omitempty"`
-	// Apply the change although no worker or entry is left for a kind or for the whole fleet.
+	// Apply the change although it leaves a kind without workers or the fleet without entries.
 	Force bool `json:"force,omitempty"`
 }
 
@@ -52,7 +52,7 @@
 	// Tasks that now run and wait in the whole fleet, at the entries that answered.
 	Running int64 `json:"running"`
 	Waiting int64 `json:"waiting"`
-	// Kinds that have workers now and none after the change.
+	// Kinds without workers after the change, except those that exist without workers before it.
 	KindsWithoutWorkers []string `json:"kinds_without_workers,omitempty"`
 	// Teams that get less after the change than they use now.
 	SqueezedTeams []TeamEffect `json:"squeezed_teams,omitempty"`
--- a/schema/settings_plain.go
+++ b/schema/settings_plain.go
@@ -17,8 +17,8 @@
 	MetricsAddress netip.AddrPort `name:"metrics-address" env:"LAVENDERCLEAT_METRICS_ADDRESS" help:"Address (IP:port) of /metrics, /healthz and /readyz." default:"127.0.0.1:7402"`
 	// Address (IP:port, UDP) of the peer interface; also names this entry to its peers.
 	PeerAddress netip.AddrPort `name:"peer-address" env:"LAVENDERCLEAT_PEER_ADDRESS" help:"Address (IP:port, UDP) of the peer interface; also names this entry to its peers." default:"127.0.0.1:7403"`
-	// Address (IP:port, UDP) to listen on for peers, if it differs from peer_address.
-	PeerListen netip.AddrPort `name:"peer-listen" env:"LAVENDERCLEAT_PEER_LISTEN" help:"Address (IP:port, UDP) to listen on for peers, if it differs from peer_address." optional:""`
+	// Address (IP:port, UDP) to listen on for peers, if it differs from --peer-address.
+	PeerListen netip.AddrPort `name:"peer-listen" env:"LAVENDERCLEAT_PEER_LISTEN" help:"Address (IP:port, UDP) to listen on for peers, if it differs from --peer-address." optional:""`
 	// Failure domain of this entry.
 	Domain string `name:"domain" env:"LAVENDERCLEAT_DOMAIN" help:"Failure domain of this entry." required:""`
 	// URL of the platform's service.
