--- a/arbiter/arbiter.go
+++ b/arbiter/arbiter.go
@@ -47,7 +47,8 @@
 // Arbiter records which coordinator may start which job. It is not safe for concurrent use.
 type Arbiter struct {
 	grants map[string]*grant
-	// byExpiry holds all grants that have not expired, released ones included.
+	// byExpiry orders the grants by their expiry. Replaced and released grants stay in it until they
+	// expire or maxGrants is reached.
 	byExpiry expiryHeap
 }
 
--- a/capacity/vector.go
+++ b/capacity/vector.go
@@ -31,7 +31,7 @@
 	return Vector{max(v.MilliCPU, w.MilliCPU), max(v.MemoryMB, w.MemoryMB), max(v.GPUs, w.GPUs)}
 }
 
-// FitCount returns how often v fits into free, but at most the given number.
+// FitCount returns how often v fits into free, but never more than most.
 func (v Vector) FitCount(free Vector, most int) int {
 	n := int64(most)
 	for _, r := range [...][2]int64{{v.MilliCPU, free.MilliCPU}, {v.MemoryMB, free.MemoryMB}, {v.GPUs, free.GPUs}} {
--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -9,8 +9,8 @@
 
 // retrySchedule spreads out the retries of the refused callers of a service.
 type retrySchedule struct {
-	// lastRetry is when the caller that was refused last was told to retry.
-	lastRetry time.Duration
+	// nextRetry is the earliest time at which the caller that is refused next may retry.
+	nextRetry time.Duration
 }
 
 // band is the jobs of a service that are within their shares, or those over their shares. Tasks of
@@ -100,7 +100,7 @@
 	// refused callers. New callers take the rest. With a higher value some retries would be
 	// refused again; with a lower one callers would wait longer than they have to.
 	retryShare = 0.25
-	// maxRetryAfter bounds the time after which a refused caller is told to retry.
+	// maxRetryAfter is the longest time after which a refused caller may retry (its Retry-After).
 	maxRetryAfter = 5 * time.Second
 )
 
@@ -112,12 +112,12 @@
 		work += int64(s.Count) * s.Demand.MilliCPU * s.ExpectedRunTime.Milliseconds() / 1000
 	}
 	s := c.retrySchedule(j.Service, j.overShare)
-	s.lastRetry = max(s.lastRetry, now+minimum)
-	after := s.lastRetry - now
+	s.nextRetry = max(s.nextRetry, now+minimum)
+	after := s.nextRetry - now
 	if cores := c.executors.daemonShare(now, j.Service); cores > 0 {
-		s.lastRetry += time.Duration(float64(work)/(retryShare*cores)) * time.Millisecond
+		s.nextRetry += time.Duration(float64(work)/(retryShare*cores)) * time.Millisecond
 	}
-	s.lastRetry = min(s.lastRetry, now+maxRetryAfter)
+	s.nextRetry = min(s.nextRetry, now+maxRetryAfter)
 	return after
 }
 
--- a/coordinator/admission_test.go
+++ b/coordinator/admission_test.go
@@ -223,7 +223,7 @@
 	assert.Equal(t, len(r.offers(peerB)), 1)
 }
 
-// Many callers are refused at once. Each must be told to retry later than those before it, spread by
+// Many callers are refused at once. Each must get a later retry time than those before it, spread by
 // the time that their work takes, and none later than maxRetryAfter: or their retries come as a burst.
 func TestRetriesOfRefusedCallersAreSpread(t *testing.T) {
 	r := newRig(t)
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -29,7 +29,7 @@
 	// minCrashes is the least number of workers that have to crash while running a task before its
 	// job is given up: one or two may crash by chance.
 	minCrashes = 3
-	// minRetryAfter is the shortest time after which a refused caller is told to retry.
+	// minRetryAfter is the shortest time after which a refused caller may retry (its Retry-After).
 	minRetryAfter = 500 * time.Millisecond
 )
 
@@ -46,8 +46,8 @@
 	Claims *executor.Claims
 	// Reclaim asks for queued tasks: the executor reports each as not run.
 	Reclaim []task.ID
-	// WithdrawDurable takes back tasks of durable jobs. The executor retains their completion
-	// records until it is told that they are stored.
+	// WithdrawDurable takes back tasks of durable jobs. The executor still holds back the
+	// acknowledgement of their completions, as that of other completions of durable jobs.
 	WithdrawDurable []task.ID
 	// Reserve asks the executor to reserve capacity for tasks that are queued elsewhere and to report
 	// when it has some. Unreserve drops such requests and reservations.
@@ -125,7 +125,8 @@
 // Has reports whether the coordinator runs the job and has not answered it yet.
 func (c *Coordinator) Has(id string) bool { return c.jobs[id] != nil }
 
-// Submit starts a job. Its answer comes through Drain; a refusal comes with the next Drain.
+// Submit starts a job, parks it or refuses it. Drain returns its answer, in the next call if the job is
+// refused at once.
 func (c *Coordinator) Submit(now time.Duration, j Job) {
 	n := newJob(now, j)
 	c.jobs[j.ID] = n
@@ -174,7 +175,8 @@
 		}
 		t.StartBy = now + durableOfferTimeout
 	}
-	t.OverShare = j.overShare && !j.mayHaveRun // tasks of a started job do not wait behind others: its finished work would be lost
+	// Tasks of a started job do not wait behind others: the job's finished work would be lost.
+	t.OverShare = j.overShare && !j.mayHaveRun
 	h, hasCapacity := c.chooseExecutor(now, t)
 	switch {
 	case h == nil && j.Durable:
@@ -339,7 +341,7 @@
 	c.out.Events = append(c.out.Events, executor.Event{Name: name, ID: t.ID, Run: t.Run, Worker: t.worker, Detail: detail})
 }
 
-// markLost marks a task whose run no known executor looks after.
+// markLost marks a task as lost: no known executor holds the worker of its run.
 func (c *Coordinator) markLost(now time.Duration, t *jobTask) {
 	t.state = lost
 	t.lostDeadline = now + lostTaskTimeout
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// backlogOf returns work in core-ms that is due at once.
+// backlogOf returns work in core-ms that has to start at once.
 func backlogOf(work int64) map[string]executor.Backlog {
 	return map[string]executor.Backlog{"quotes": {0, work}}
 }
--- a/coordinator/durable.go
+++ b/coordinator/durable.go
@@ -11,7 +11,7 @@
 const (
 	// orphanTimeout is how long after this daemon lost contact with a run, or took its job over, the
 	// run is certainly over if no executor has reported it. The run's executor notices within a second
-	// that its coordinator is unreachable, keeps the run for executor.OrphanTimeout in case that it is
+	// that its coordinator is unreachable, keeps the run for executor.OrphanTimeout in case it is
 	// claimed, and its lease ends within another second. An earlier owner of the job that is only cut
 	// off notices that its ownership record is gone as soon as the node's last confirmation of the record
 	// is too old; the lease of its runs ends after that.
--- a/coordinator/pending_takeover.go
+++ b/coordinator/pending_takeover.go
@@ -10,8 +10,8 @@
 )
 
 // startReportTimeout bounds the wait for a report on a task before a takeover is answered. The earlier
-// holder reports within a round trip where the task started. The new holder stops runs that nobody has
-// claimed after 300 ms.
+// holder reports within a round trip where the task started. The new holder stops runs that no coordinator
+// has claimed after 300 ms.
 const startReportTimeout = 200 * time.Millisecond
 
 // pendingTakeover is a takeover that is not answered yet.
--- a/coordinator/reserve.go
+++ b/coordinator/reserve.go
@@ -92,7 +92,7 @@
 }
 
 // chooseExecutor returns the executor to offer the task to: one with reserved capacity, one with free
-// capacity, or one at which the task is queued. hasCapacity is false for the last; h is nil when no
+// capacity, or one at which the task has to queue. hasCapacity is false for the last; h is nil when no
 // executor can take the task.
 func (c *Coordinator) chooseExecutor(now time.Duration, t *jobTask) (h *ExecutorState, hasCapacity bool) {
 	h = c.executors.get(t.moveTo)
--- a/coordinator/retire.go
+++ b/coordinator/retire.go
@@ -4,7 +4,7 @@
 
 // retiredRetryAfter is the time after which a caller may retry that was refused because all failure
 // domains of its service are retired. That lasts until the operator reinstates one, so earlier
-// retries would be refused too. It is the longest time that callers are told.
+// retries would be refused too. It is the longest Retry-After that callers get.
 const retiredRetryAfter = maxRetryAfter
 
 // SetRetiredDomains sets the failure domains whose workers get no new runs. Executors report that too
--- a/coordinator/shares_test.go
+++ b/coordinator/shares_test.go
@@ -171,7 +171,7 @@
 	assert.Equal(t, len(c.c.divide(c.now, "quotes").claimants), 0)
 }
 
-// Queues that nobody uses any more, and the divisions of their services, must be forgotten. Otherwise
+// Queues that no job is submitted to any more, and the divisions of their services, must be forgotten. Otherwise
 // every name that a configuration ever had would stay as long as the process.
 func TestUnusedQueuesAreForgotten(t *testing.T) {
 	c := newShareRig(t)
--- a/coordinator/stopping.go
+++ b/coordinator/stopping.go
@@ -11,7 +11,7 @@
 // maxStopTime is how long a run that an executor was to stop may still run after the executor became
 // unreachable or lost the worker to another executor. An unreachable executor notices the loss of its
 // coordinator up to 0.3 s later and stops the run, or its lease of 0.8 s lapses. A new holder of the
-// worker stops runs that nobody claims within 0.3 s.
+// worker stops runs that no coordinator claims within 0.3 s.
 const maxStopTime = 1500 * time.Millisecond
 
 // untilQuiescent waits, without a time-out, for an executor to confirm quiescence.
@@ -30,7 +30,8 @@
 	stoppedBy time.Duration
 }
 
-// Cancel ends a job whose caller disconnected or canceled it. It withdraws the job's tasks and emits no answer.
+// Cancel ends a job whose caller disconnected or canceled it. It withdraws the job's tasks and emits no
+// answer.
 func (c *Coordinator) Cancel(now time.Duration, id string) {
 	if j := c.jobs[id]; j != nil {
 		c.withdraw(now, j)
--- a/coordinator/takeover.go
+++ b/coordinator/takeover.go
@@ -14,7 +14,7 @@
 type takeover struct {
 	successor  member.Process
 	receivedAt time.Duration
-	// running is the runs that the worker listed at the takeover, by task.
+	// running holds the numbers of the runs that the worker listed at the takeover, by task.
 	running map[task.ID]uint32
 	// token is the fencing token of the holding epoch; 0: not reported. reconciled: the list answers a
 	// reconciliation and is later than the beginning of the epoch.
@@ -37,8 +37,8 @@
 
 // claimFromSuccessor claims a task from a successor whose takeover was handled before the report that
 // the task had run on the worker. The successor may have stopped the run as unclaimed meanwhile; then it
-// reports the run's end. The executor that reports the loss is not asked, in case that it is the
-// successor and has lost the worker again: it would report "moved" without end.
+// reports the run's end. The executor that reports the loss is not asked, in case it is the
+// successor and has lost the worker again: it would report "moved" again and again.
 func (c *Coordinator) claimFromSuccessor(now time.Duration, from member.Process, t *jobTask) {
 	s := c.latestTakeovers[t.worker]
 	if s.successor == from || !s.laterThan(now, t.token) || c.executors.get(s.successor) == nil {
--- a/coordinator/takeover_order_test.go
+++ b/coordinator/takeover_order_test.go
@@ -76,7 +76,7 @@
 }
 
 // A takeover that is later than the run arrives before the loss is noticed and before the message of
-// an earlier one. It must count for the loss however old it is, or the task would wait for ever.
+// an earlier one. It must count for the loss however old it is, or the task would wait forever.
 func TestLaterTakeoverIsRemembered(t *testing.T) {
 	r := newRig(t)
 	r.offerToPeer()
--- a/coordinator/takeover_test.go
+++ b/coordinator/takeover_test.go
@@ -148,8 +148,8 @@
 }
 
 // Another daemon notices the loss of a holder earlier than this one: its takeovers arrive before the
-// loss is noticed here. They must count for the loss, as they are not sent again: the callers' jobs
-// would fail although everything is known.
+// loss is noticed here. They must count for the loss: if this daemon waited for further takeovers, the
+// callers' jobs would fail although everything is known.
 func TestTakeoverBeforeTheLossIsNoticed(t *testing.T) {
 	r := newRig(t)
 	r.c.UpdateExecutor(ExecutorState{Process: peerB, Distance: 1, Workers: []executor.WorkerCapacity{workerWith("w2", 1), workerWith("w3", 1)}})
--- a/executor/answers.go
+++ b/executor/answers.go
@@ -310,7 +310,7 @@
 	case r.runningClock > 0 && clockMS > r.runningClock:
 		e.endRun(now, w, r, task.Terminated, "vanished")
 	case r.stoppedClock > 0 && clockMS > r.stoppedClock:
-		// Had the run been there when the stop came, the list would show it until its end is listed.
+		// If the run had been there when the stop arrived, the list would show it, as running or as ended.
 		e.endRun(now, w, r, task.Terminated, "stopped_before_start")
 	case r.deadline > 0 && clockMS > r.deadline:
 		// The start cannot be carried out any more, and it has left no trace.
--- a/executor/capacity.go
+++ b/executor/capacity.go
@@ -9,16 +9,16 @@
 
 // AppendWorkerCapacities appends the capacity of each worker in use, and of each worker that has
 // left use and still has runs of this executor.
-func (e *Executor) AppendWorkerCapacities(rooms []WorkerCapacity, now time.Duration) []WorkerCapacity {
+func (e *Executor) AppendWorkerCapacities(list []WorkerCapacity, now time.Duration) []WorkerCapacity {
 	for _, w := range e.order {
 		if w.visible() {
-			rooms = append(rooms, WorkerCapacity{
+			list = append(list, WorkerCapacity{
 				Worker: w.info.ID, Service: w.info.Service, Domain: w.info.Domain, Free: w.freeCapacity(), Total: w.info.Capacity,
 				Open: w.acceptsRuns(now), Usable: w.usable(), Slowdown: w.slowdown.reportedSlowdown(), Epoch: w.epoch, Token: w.epochToken,
 			})
 		}
 	}
-	return rooms
+	return list
 }
 
 // HeldWorkers returns the IDs of the workers in use.
--- a/executor/durable.go
+++ b/executor/durable.go
@@ -245,10 +245,10 @@
 	e.schedule(now)
 }
 
-// Reconcile tells a coordinator what this executor knows of durable jobs that it looks after. For
-// each worker concerned it lists all runs and all unacknowledged completions. If a
-// list does not show a run, the coordinator takes that run as over. Tasks that wait are returned, as
-// they have not run.
+// Reconcile reports to a coordinator what this executor knows of the durable jobs that the coordinator
+// owns. For each worker concerned it lists all runs and all unacknowledged completions. If a list does
+// not show a run, the coordinator takes that run as over. Tasks that wait are returned, as they have not
+// run.
 func (e *Executor) Reconcile(now time.Duration, by member.Process, jobs []string) {
 	affected := func(id task.ID) bool { return slices.Contains(jobs, id.Job) }
 	e.queue = slices.DeleteFunc(e.queue, func(q *queuedTask) bool {
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -246,7 +246,7 @@
 	e.schedule(now)
 }
 
-// discard stops a run whose result nobody waits for, and logs why.
+// discard stops a run whose result no coordinator waits for, and logs why.
 func (e *Executor) discard(now time.Duration, w *worker, r *run, why string) {
 	r.discarded = true
 	e.output.Events = append(e.output.Events, Event{
--- a/executor/messages.go
+++ b/executor/messages.go
@@ -57,7 +57,7 @@
 	Timeout time.Duration
 	// extra marks a poll beside the standing one.
 	extra bool
-	// withoutToken marks a poll that does not take the worker.
+	// withoutToken marks a poll without a fencing token, which does not take the worker.
 	withoutToken bool
 	// sentAt is when the call was emitted, and workerClock the latest reading of the worker's clock
 	// then.
--- a/executor/polls.go
+++ b/executor/polls.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// stopStalledRuns stops runs that make no progress. The worker lists such a run for ever, and its
+// stopStalledRuns stops runs that make no progress. The worker lists such a run forever, and its
 // caller would otherwise wait until its deadline.
 func (e *Executor) stopStalledRuns(now time.Duration, w *worker) {
 	for _, r := range w.sortedRuns() {
--- a/executor/probe.go
+++ b/executor/probe.go
@@ -61,8 +61,8 @@
 
 // stopLateRuns stops runs of a slow worker that will end late. It stops a run if its task can be on
 // time on another worker that has the capacity, or if the run would outlast its caller's deadline and
-// need not do so elsewhere. It stops a task's run only once, so that no task circulates, and never
-// runs of durable jobs, whose work is stored. The task starts again only on proof that the run is
+// need not do so elsewhere. It stops a task's run only once, so that no task is restarted again and
+// again, and never runs of durable jobs, whose work is stored. The task starts again only on proof that the run is
 // over.
 func (e *Executor) stopLateRuns(now time.Duration, w *worker) {
 	if e.slowness(w) <= 1 {
--- a/executor/reserve_test.go
+++ b/executor/reserve_test.go
@@ -41,7 +41,7 @@
 }
 
 // Whatever happens to the coordinator or its task, held capacity has to be free again soon, or the
-// worker would lose it for ever.
+// worker would lose it forever.
 func TestHeldCapacityIsReleased(t *testing.T) {
 	for name, release := range map[string]func(*rig, task.Task){
 		"no offer":   func(r *rig, _ task.Task) { r.advance(2 * capacityHoldTime) },
@@ -93,8 +93,8 @@
 	assert.Equal(t, r.e.Reservations(), maxReservations)
 }
 
-// A worker's entry is removed while capacity is held there. A task started on it would have no end
-// that anybody waits for.
+// A worker's entry is removed while capacity is held there. The executor forgets the worker, so it would
+// never read the completion of a task started on it.
 func TestHeldCapacityOfRemovedWorkerIsNotUsed(t *testing.T) {
 	r, c := fullRig(t)
 	wide := testTask("wide", 0)
--- a/executor/restart.go
+++ b/executor/restart.go
@@ -17,7 +17,7 @@
 //   - A list of the new incarnation seems to prove that runs are over which may still begin. An order
 //     to the old incarnation may arrive seconds late, and the new one obeys it, as it has seen no token.
 //   - An acknowledgement of the old incarnation's completions makes the new one forget completions that
-//     nobody has read.
+//     no executor has read.
 //
 // The executor therefore takes the worker again, by a higher token. From its answer on, the new
 // incarnation refuses all earlier orders, and its list is reliable.
--- a/executor/restartmodel_test.go
+++ b/executor/restartmodel_test.go
@@ -177,7 +177,7 @@
 	}
 }
 
-// crash replaces a worker's incarnation. Completions that nobody has read are lost, and their tasks
+// crash replaces a worker's incarnation. Completions that the executor has not read are lost, and their tasks
 // may run again. The registry entry shows the new incarnation sooner or later than lists do.
 func (m *restartModel) crash(id string) {
 	l := m.workers[id]
--- a/executor/slowdetection_test.go
+++ b/executor/slowdetection_test.go
@@ -247,7 +247,7 @@
 }
 
 // Runs of durable jobs must not be stopped for their worker's slowness, nor runs of a task that was
-// stopped before: it would circulate.
+// stopped before: it would be restarted again and again.
 func TestRunsThatAreNotStoppedOnSlowWorkers(t *testing.T) {
 	for _, change := range []func(*task.Task){
 		func(t *task.Task) { t.Durable = true },
--- a/executor/worker.go
+++ b/executor/worker.go
@@ -59,7 +59,7 @@
 	stoppedClock int64
 	// stopSentAt is when the last stop was sent.
 	stopSentAt time.Duration
-	// discarded: nobody waits for the run's result. confirmEnd: its coordinator waits for its end
+	// discarded: no coordinator waits for the run's result. confirmEnd: its coordinator waits for its end
 	// all the same.
 	discarded, confirmEnd bool
 	// orphanedAt is when a durable job's run lost its coordinator; 0: it has one.
--- a/fleet/assign.go
+++ b/fleet/assign.go
@@ -130,12 +130,12 @@
 	return list
 }
 
-// score is a pseudo-random number for a worker and a member; a member with a higher weight gets higher
-// scores. The hash leaves out the incarnation, so a restarted daemon gets its workers back.
-func score(worker string, m *Member) float64 {
+// score is a pseudo-random number for a member and the identifier of a worker or a job; a member with a
+// higher weight gets higher scores. The hash leaves out the incarnation, so a restarted daemon gets its workers back.
+func score(id string, m *Member) float64 {
 	var d xxhash.Digest
 	d.Reset()
-	_, _ = d.WriteString(worker)
+	_, _ = d.WriteString(id)
 	_, _ = d.WriteString("\x00")
 	_, _ = d.WriteString(m.Address.String())
 	return weightedScore(d.Sum64(), cmp.Or(m.Weight, 1))
