--- a/executor/latency_test.go
+++ b/executor/latency_test.go
@@ -11,7 +11,7 @@
 
 // Workers answer within milliseconds. An order without an answer has to time out soon, to be looked
 // into. Where answers are slow, as the daemon or its link is busy, the time-out has to be longer,
-// or the executor would look into each order needlessly.
+// or the executor would ask about each order a second time.
 func TestOrderTimeoutFollowsLatency(t *testing.T) {
 	r := newRig(t)
 	r.holdWorkers("w1")
--- a/executor/place.go
+++ b/executor/place.go
@@ -57,7 +57,7 @@
 	// notSlow and slow are upper bounds, in each dimension, of the free capacity on any one worker
 	// that accepts runs: notSlow for workers that are not slow, slow for slow workers that have more.
 	notSlow, slow capacity.Vector
-	// minSlowness is the least slowness of the latter.
+	// minSlowness is the least slowness of the workers that count in slow.
 	minSlowness float64
 }
 
