--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -1,3 +1,5 @@
+// The application life cycle that all commands with a server share: start, stop on a signal, ready line.
+
 package cli
 
 import (
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -1,3 +1,5 @@
+// The dev command: an entry, a stand-in platform and stand-in backend servers in one process.
+
 package cli
 
 import (
--- a/internal/cli/dev_sample.go
+++ b/internal/cli/dev_sample.go
@@ -1,3 +1,5 @@
+// The sample configuration and the sample job of the dev command.
+
 package cli
 
 import (
--- a/internal/cli/entry.go
+++ b/internal/cli/entry.go
@@ -1,3 +1,5 @@
+// The entry command: the daemon of an entry VM.
+
 package cli
 
 import (
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -1,3 +1,5 @@
+// The explain command: what happened to one request, from the logs of several daemons.
+
 package cli
 
 import (
--- a/internal/cli/flag_values.go
+++ b/internal/cli/flag_values.go
@@ -1,3 +1,5 @@
+// Parsing and checks of flag values: addresses, durations and URLs.
+
 package cli
 
 import (
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -1,3 +1,5 @@
+// The load commands: load on running entries, experiments in this process, and fleet estimates.
+
 package cli
 
 import (
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -1,3 +1,5 @@
+// The node command: the daemon on the users' platform with its HTTP servers.
+
 package cli
 
 import (
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -1,3 +1,5 @@
+// Calls of an entry's operator interface, and the history, export and hash-token commands.
+
 package cli
 
 import (
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -1,3 +1,5 @@
+// The plan and confirm commands: changes that an operator reviews before they are applied.
+
 package cli
 
 import (
--- a/internal/cli/print.go
+++ b/internal/cli/print.go
@@ -1,3 +1,5 @@
+// Output of plans, status and history as text.
+
 package cli
 
 import (
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -1,3 +1,5 @@
+// The standin commands: stand-ins of the platform and of backend servers, for tests.
+
 package cli
 
 import (
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -1,3 +1,5 @@
+// The status command.
+
 package cli
 
 import (
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -1,3 +1,5 @@
+// The submit command: one job from a file.
+
 package cli
 
 import (
--- a/internal/load/cluster.go
+++ b/internal/load/cluster.go
@@ -1,3 +1,5 @@
+// A complete system in this process, on which experiments run.
+
 package load
 
 import (
--- a/internal/load/counters.go
+++ b/internal/load/counters.go
@@ -1,3 +1,5 @@
+// Counters of entries and backend servers, read before and after a run.
+
 package load
 
 import (
--- a/internal/load/driver.go
+++ b/internal/load/driver.go
@@ -1,3 +1,5 @@
+// The driver: it sends jobs when they are due and waits for their answers.
+
 package load
 
 import (
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -1,3 +1,5 @@
+// Experiments: runs of several loads, policies and faults on a system in this process.
+
 package load
 
 import (
--- a/internal/load/fleet.go
+++ b/internal/load/fleet.go
@@ -1,3 +1,5 @@
+// Estimates of what the daemons of a large fleet hold, read and send.
+
 package load
 
 import (
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -1,3 +1,5 @@
+// Random jobs and the intervals between them.
+
 package load
 
 import (
--- a/internal/load/machine.go
+++ b/internal/load/machine.go
@@ -1,3 +1,5 @@
+// Processor load of the machine during a run.
+
 package load
 
 import (
--- a/internal/load/output.go
+++ b/internal/load/output.go
@@ -1,3 +1,5 @@
+// Output of progress and reports as text.
+
 package load
 
 import (
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -1,3 +1,5 @@
+// Load profiles: the mix of jobs that a run sends.
+
 package load
 
 import (
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -1,3 +1,5 @@
+// The recorder: outcomes and response times of a run, and its report.
+
 package load
 
 import (
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -1,3 +1,5 @@
+// One load run: round trips of the idle system, the load, and the report.
+
 package load
 
 import (
--- a/internal/logging/async_writer.go
+++ b/internal/logging/async_writer.go
@@ -1,3 +1,5 @@
+// A log writer that drops lines instead of blocking its callers.
+
 package logging
 
 import (
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -59,8 +59,9 @@
 type Handler interface {
 	// PeerUp is called when messages start to pass in both directions.
 	PeerUp(p Peer)
-	// PeerUnreachable is called when the peer cannot be reached any more. gone is set if the peer's process
-	// has certainly ended.
+	// PeerUnreachable is called when the peer can no longer be reached. gone is set if the peer's address
+	// refused a connection, if another process has its address, or if this daemon must not be linked to
+	// it any more.
 	PeerUnreachable(p Peer, gone bool)
 	// HandleFrame processes a numbered frame.
 	HandleFrame(p Peer, f *schema.Frame)
--- a/internal/mesh/session.go
+++ b/internal/mesh/session.go
@@ -12,7 +12,7 @@
 )
 
 // endSession ends the session and reports the peer as unreachable if it was up. gone is set if the peer's
-// process has certainly ended.
+// address refused a connection, or if the link is excluded.
 func (l *link) endSession(gone bool) {
 	l.deliveryMu.Lock()
 	defer l.deliveryMu.Unlock()
--- a/internal/node/cellfeed.go
+++ b/internal/node/cellfeed.go
@@ -38,9 +38,10 @@
 	// feedAckTimeout is how long a root relay may leave data unacknowledged before the connection
 	// breaks.
 	feedAckTimeout = time.Second
-	// maxRootAge bounds the age of the store's last answer to a root relay. Its own read every 0.7
-	// s keeps the age below that. A root relay that is older refuses, and the relay asks the next
-	// root relay or the store, before the daemons that depend on the relay read by themselves.
+	// maxRootAge bounds the age of the store's last answer to a root relay, whose own read every
+	// 0.7 s keeps the age below it. With an older answer the root relay refuses. The relay then
+	// asks the next root relay or the store, before the daemons that depend on the relay read by
+	// themselves.
 	maxRootAge = time.Second
 	// rootRetryDelay is how long a root relay that did not answer is not asked again.
 	rootRetryDelay = 5 * time.Second
--- a/internal/node/entries.go
+++ b/internal/node/entries.go
@@ -39,8 +39,8 @@
 	// revision is the entry's revision, changedRevision that of its last change other than a
 	// renewal.
 	revision, changedRevision int64
-	// missingSince is when the entry disappeared after an outage of the store, and missingRevision
-	// the revision of that deletion; 0: the entry exists.
+	// missingSince is when the entry disappeared after an outage of the store; 0: the entry exists.
+	// missingRevision is the revision of the latest deletion.
 	missingSince    time.Duration
 	missingRevision int64
 	// content is the entry as it was read, to be sent to peers.
--- a/internal/node/fleetview.go
+++ b/internal/node/fleetview.go
@@ -40,9 +40,9 @@
 	// dropInterval is the pause between checks of all entries for those that have been missing for
 	// too long. In a large fleet a check at each tick would take a part of a busy daemon's time.
 	dropInterval = 200 * time.Millisecond
-	// minorityWait is how long a daemon leaves the workers of its unreachable peers alone when they
-	// are half of its peers or more. It is more likely cut off itself, and would take workers from
-	// holders that still serve.
+	// minorityWait is how long a daemon that has lost half of its peers or more by time-outs leaves
+	// their workers alone. It is more likely cut off itself, and would take workers from holders
+	// that still serve.
 	minorityWait = 8 * time.Second
 )
 
@@ -54,8 +54,8 @@
 	// configurationVersion is the version of the configuration in force at the peer.
 	configurationVersion uint64
 	up                   bool
-	// unreachableSince is when the peer's heartbeats timed out; 0 for a peer that is up or whose
-	// connections are refused.
+	// unreachableSince is when the peer's heartbeats timed out; 0 for a peer that is up. A peer
+	// whose connections are refused is removed.
 	unreachableSince time.Duration
 	// pendingJobs counts its durable jobs that have not started, by queue.
 	pendingJobs map[string]uint32
@@ -157,8 +157,8 @@
 	return live
 }
 
-// inMinority reports whether half of the peers or more are unreachable: this daemon is more likely
-// cut off itself.
+// inMinority reports whether this daemon has lost half of its peers or more by time-outs: it is more
+// likely cut off itself. Peers whose connections are refused don't count.
 func (f *fleetView) inMinority() bool {
 	live, unreachable := 1, 0
 	for _, k := range f.peers {
--- a/internal/node/ownerwatch.go
+++ b/internal/node/ownerwatch.go
@@ -47,7 +47,7 @@
 	return ownerWatch{unreachableSince: make(map[uint64]time.Duration), owners: make(map[uint64]bool), scanDue: true, wake: make(chan struct{}, 1)}
 }
 
-// watchOwners supervises the ownership records: it writes this daemon's own, and removes those of
+// watchOwners supervises the ownership records: it writes this daemon's own, removes those of
 // unreachable owners, and takes over the jobs whose successor this daemon is.
 func (n *Node) watchOwners() {
 	for n.ctx.Err() == nil {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -63,8 +63,8 @@
 const firstStartWait = time.Second
 
 // linkDaemons links the daemons of this daemon's cell. Without the list of daemons, after a loss of
-// power of a large fleet, all daemons would first link with all seeds, also those of other cells.
-// That would take small VMs half a second.
+// power of a large fleet, all daemons would first link with all daemons that the seeds name, also
+// those of other cells. That would take small VMs half a second.
 func (n *Node) linkDaemons() {
 	if n.config.FirstStart {
 		clock.Sleep(n.ctx, firstStartWait)
--- a/internal/node/relays_test.go
+++ b/internal/node/relays_test.go
@@ -75,7 +75,7 @@
 	assert.Equal(t, action, registry.ReadAll)
 }
 
-// A relay sends the entries of its first read to all peers as changes. Instead each peer that lacks
+// A relay must not send the entries of its first read to all peers as changes: each peer that lacks
 // them asks, and gets them once and compressed.
 func TestFirstReadIsNotSentAsChanges(t *testing.T) {
 	n := newLinkedNode(t, 12)
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -56,7 +56,7 @@
 
 // waitAfterStandstill waits after a standstill and reports whether the caller is still connected.
 // The process may read a request seconds after it was sent, when its caller has given up and sent
-// it to another daemon. Both daemons would start the job.
+// it to another daemon. Without the wait both daemons would start the job.
 func (n *Node) waitAfterStandstill(ctx context.Context) bool {
 	n.clock.sync()
 	n.mu.Lock()
--- a/internal/node/reservation_test.go
+++ b/internal/node/reservation_test.go
@@ -12,9 +12,8 @@
 	"github.com/lavendercleat/lavendercleat/task"
 )
 
-// A reservation that arrives over a link is taken for an offer. Its task would run here and where
-// it waits. The reservation must stay while there is no free capacity, until the coordinator drops
-// it.
+// A reservation that arrives over a link must not be taken for an offer: its task would run here
+// and where it waits. It must stay while there is no free capacity, until the coordinator drops it.
 func TestReservationOverLinkIsNotAnOffer(t *testing.T) {
 	n := newTestNode(t)
 	p := peer(2)
--- a/internal/node/starts.go
+++ b/internal/node/starts.go
@@ -146,7 +146,7 @@
 	n.coordinator.Submit(now, w.job)
 }
 
-// cancelUnwanted cancels a job for which no caller waits any more, here or at another daemon.
+// cancelUnwanted cancels a job for which no caller waits, here or at another daemon.
 func (n *Node) cancelUnwanted(now time.Duration, w *waiter) {
 	if w.callers > 0 || n.starts.HasWaiters(w.id) || n.waiters[w.id] != w {
 		return
--- a/internal/standin/backend/fleet.go
+++ b/internal/standin/backend/fleet.go
@@ -1,3 +1,5 @@
+// A set of stand-in backend servers in one process.
+
 package backend
 
 import (
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -1,3 +1,5 @@
+// One stand-in backend server, its behaviour and its record of the tasks that ran.
+
 package backend
 
 import (
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -1,3 +1,5 @@
+// The HTTP interface of the stand-in platform, with injected faults.
+
 package platform
 
 import (
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -1,3 +1,5 @@
+// The key-value store of the stand-in platform, with leases.
+
 package platform
 
 import (
--- a/internal/standin/platform/vm_list.go
+++ b/internal/standin/platform/vm_list.go
@@ -1,3 +1,5 @@
+// The VM list of the stand-in platform, with delayed changes.
+
 package platform
 
 import (
--- a/member/heartbeat.go
+++ b/member/heartbeat.go
@@ -1,3 +1,5 @@
+// The schedule of heartbeats to peers.
+
 package member
 
 import (
--- a/member/leaving.go
+++ b/member/leaving.go
@@ -1,3 +1,5 @@
+// Workers that have announced that they are leaving.
+
 package member
 
 import "time"
--- a/member/liveness.go
+++ b/member/liveness.go
@@ -1,3 +1,5 @@
+// What is certain about a process that cannot be queried.
+
 package member
 
 import "time"
@@ -19,7 +21,7 @@
 	// maxHeartbeatRecords limits the memory for processes that have sent a heartbeat once.
 	maxHeartbeatRecords = 4096
 	// clockDrift limits the difference in rate of two monotonic clocks to one part in clockDrift. Real
-	// clocks differ by less than one part in a thousand.
+	// clocks differ by less than a thousandth of that.
 	clockDrift = 100
 	// clockMargin allows for delays between the reading of a clock and its use.
 	clockMargin = 5 * time.Second
@@ -68,10 +70,10 @@
 // Liveness returns what is certain about the owner of an identifier that was minted at a time on the
 // owner's clock.
 //
-// It returns Replaced only when the longer of the two time-outs has passed since the new process was
-// heard. If the old process stopped gracefully, every live peer that knows its successor has reported the
-// successor by then. Expired assumes only that the rates of the two monotonic clocks differ by at most one
-// part in a hundred.
+// It returns Replaced only when the longer of the two time-outs has passed since the new process's
+// first heartbeat. If the old process stopped gracefully, every live peer that knows its successor has
+// reported the successor by then. Expired assumes only that the rates of the two monotonic clocks differ by
+// at most one part in a hundred.
 func (v *View) Liveness(now time.Duration, owner Process, minted time.Duration) Liveness {
 	s, ok := v.heartbeats[owner]
 	if !ok {
--- a/member/successor.go
+++ b/member/successor.go
@@ -1,3 +1,5 @@
+// Successors: which process keeps the answers of a stopped one.
+
 package member
 
 import "time"
--- a/member/view.go
+++ b/member/view.go
@@ -1,3 +1,5 @@
+// The view of the peers: which are alive, and which may be contacted.
+
 package member
 
 import (
--- a/registry/fetch.go
+++ b/registry/fetch.go
@@ -1,3 +1,5 @@
+// Configuration copies between daemons: from which peer one is fetched, and how many are sent.
+
 package registry
 
 import (
--- a/registry/relay.go
+++ b/registry/relay.go
@@ -1,3 +1,5 @@
+// Relays: the few daemons that read the store's entries for the others, and how the others follow them.
+
 package registry
 
 import (
--- a/registry/retire.go
+++ b/registry/retire.go
@@ -1,3 +1,5 @@
+// Failure domains that the operator has retired.
+
 package registry
 
 import (
--- a/registry/roots.go
+++ b/registry/roots.go
@@ -1,3 +1,5 @@
+// Root relays: the relays of a fleet with several cells that read the store.
+
 package registry
 
 import (
@@ -12,9 +14,9 @@
 // SelectRootRelays returns the root relays: of the relays of all cells, those that read the store. The
 // other relays get the entries from the root relays. If the two relays of each cell read the store, the
 // load on the store's link would grow with the product of daemons and workers: 500 daemons with 5,300
-// workers took 0.8 of a link of 1 Gbit/s. For a relay in a cell of small machines, that is half of its
-// own link of 25 Mbit/s. The strongest relays of each failure domain are selected; the result depends on
-// the inputs alone.
+// workers took 0.8 of a link of 1 Gbit/s. In a cell of small machines only, the reads would also take half
+// of the relay's own link of 25 Mbit/s. The strongest relays of each failure domain are selected; the
+// result depends on the inputs alone.
 func SelectRootRelays(relays []Relay) (roots []Relay) {
 	sorted := slices.Clone(relays)
 	slices.SortFunc(sorted, func(a, b Relay) int {
