--- a/test/interleave/arbitration_test.go
+++ b/test/interleave/arbitration_test.go
@@ -31,7 +31,7 @@
 	checkRequests map[member.Process][]*daemon
 }
 
-// quiescenceCheck is a check that executors run nothing of a coordinator any more: pending are the
+// quiescenceCheck is a check that executors no longer run anything of a coordinator: pending are the
 // daemons that have not confirmed it, leasesEndAt is when all leases of unreachable ones have ended.
 type quiescenceCheck struct {
 	pending     map[*daemon]bool
@@ -87,7 +87,8 @@
 	}
 }
 
-// notifyWaiters sends a job's answer to the daemons that wait for it, or abandons a job without a result.
+// notifyWaiters sends a job's answer to the daemons that wait for it, or abandons the job if the answer
+// is no result of its tasks.
 func (d *daemon) notifyWaiters(a coordinator.Answer) {
 	if a.Status != coordinator.Completed && a.Status != coordinator.TaskFailed {
 		d.arbitration.client.Abandon(a.Job)
@@ -196,7 +197,7 @@
 	}
 }
 
-// handleQuiescence records that by runs nothing of the coordinator holder any more.
+// handleQuiescence records that the daemon by no longer runs anything of the coordinator holder.
 func (d *daemon) handleQuiescence(by *daemon, holder member.Process) {
 	if holder == d.self {
 		d.coordinator.HandleQuiescence(by.self)
--- a/test/interleave/link_test.go
+++ b/test/interleave/link_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// reset ends the session. Messages on their way are not delivered any more.
+// reset ends the session. Messages that are still on their way are dropped.
 func (e *linkEnd) reset(session uint64) {
 	wasUp, w := e.up, e.world()
 	e.up, e.connected, e.nextDial = false, false, w.now
--- a/test/leased/cputhrottle_test.go
+++ b/test/leased/cputhrottle_test.go
@@ -1,3 +1,5 @@
+// The CPU throttle of a daemon in the test of the large fleet.
+
 package leased
 
 import (
--- a/test/leased/durable_test.go
+++ b/test/leased/durable_test.go
@@ -1,3 +1,5 @@
+// The tests of durable jobs without faults, under faults of daemons and the store, and with cancels.
+
 package leased
 
 import (
--- a/test/leased/explain_test.go
+++ b/test/leased/explain_test.go
@@ -1,3 +1,5 @@
+// The tests of the explain command on the logs of daemons.
+
 package leased
 
 import (
--- a/test/leased/faults_test.go
+++ b/test/leased/faults_test.go
@@ -1,3 +1,5 @@
+// The tests of single faults of daemons, workers and the store while callers send jobs.
+
 package leased
 
 import (
@@ -195,7 +197,7 @@
 	assert.Equal(t, out.refused+out.unclear, 0)
 }
 
-// A worker's entry says that it is draining. It gets no new tasks two seconds later.
+// A worker's entry says that it is draining. After two seconds the worker must get no new tasks.
 func TestDrainingWorker(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, 2, 4, shortTasks)
@@ -261,8 +263,8 @@
 	}
 }
 
-// A caller hangs up. The workers must stop its tasks, which would otherwise run for nobody and
-// beside the caller's second attempt.
+// A caller hangs up. The workers must stop its tasks, which would otherwise use capacity
+// without a caller and overlap the caller's second attempt.
 func TestTasksStopWhenCallerHangsUp(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, 2, 4, shortTasks)
--- a/test/leased/largefleet_test.go
+++ b/test/leased/largefleet_test.go
@@ -1,3 +1,5 @@
+// The test of a large fleet under overlapping random faults of daemons with little CPU.
+
 package leased
 
 import (
--- a/test/leased/ports_test.go
+++ b/test/leased/ports_test.go
@@ -1,3 +1,5 @@
+// The addresses of the tests' daemons, and the test that a process keeps its range of ports.
+
 package leased
 
 import (
--- a/test/leased/resend_test.go
+++ b/test/leased/resend_test.go
@@ -1,3 +1,5 @@
+// The tests of callers that send a job again to another daemon while its first runs end late.
+
 package leased
 
 import (
--- a/test/leased/resendscenario_test.go
+++ b/test/leased/resendscenario_test.go
@@ -1,3 +1,5 @@
+// The scenario of a job that its caller sends twice, for the tests of resends.
+
 package leased
 
 import (
@@ -20,6 +22,7 @@
 // after resendAfter. The tests delay the end of the first runs beyond that time, so that a dispatcher
 // that does not wait for their end runs a task twice at once.
 const (
+	// resendDaemons is the number of daemons, except where a test needs manyDaemons.
 	resendDaemons = 4
 	// workersPerDaemon is the number of workers for each daemon.
 	workersPerDaemon = 2
--- a/test/leased/retireddomain_test.go
+++ b/test/leased/retireddomain_test.go
@@ -1,3 +1,5 @@
+// The tests of failure domains that the operator retires and reinstates.
+
 package leased
 
 import (
@@ -74,8 +76,8 @@
 	assert.Assert(t, len(s.startedSince("b", inForce)) > 0)
 }
 
-// All failure domains are retired. A caller is told at once that its job has not run. When one domain
-// is reinstated, callers are served again.
+// All failure domains are retired. A daemon refuses a job at once, with a Retry-After, and none of the
+// job's tasks runs. When one domain is reinstated, the daemons serve callers again.
 func TestAllDomainsRetired(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, 2, 4, shortTasks)
--- a/test/leased/soak_test.go
+++ b/test/leased/soak_test.go
@@ -1,3 +1,5 @@
+// The soak test: random faults overlap while callers send and cancel jobs.
+
 package leased
 
 import (
--- a/test/leased/storerelay_test.go
+++ b/test/leased/storerelay_test.go
@@ -1,3 +1,5 @@
+// The test of store relays: daemons that read the workers' entries from the store for all others.
+
 package leased
 
 import (
--- a/test/leased/system_test.go
+++ b/test/leased/system_test.go
@@ -1,3 +1,5 @@
+// The system of the tests: a store, workers, daemon processes and the callers' requests.
+
 package leased
 
 import (
--- a/test/leased/workerentry_test.go
+++ b/test/leased/workerentry_test.go
@@ -1,3 +1,5 @@
+// The tests of workers that restart under the same IDs, and of invalid worker entries.
+
 package leased
 
 import (
--- a/test/loan/loan_test.go
+++ b/test/loan/loan_test.go
@@ -1,3 +1,5 @@
+// The tests of entries that borrow slots from other entries.
+
 package loan
 
 import (
--- a/test/policy/patterns_test.go
+++ b/test/policy/patterns_test.go
@@ -120,7 +120,7 @@
 }
 
 // One worker after the other starts to drain while callers submit as many jobs as before. The daemons
-// refuse the jobs that have no capacity any more, and few jobs fail after a wait.
+// refuse the jobs that no longer fit, and few jobs fail after a wait.
 func TestShrinkingFleet(t *testing.T) {
 	t.Parallel()
 	l := fourDomains(rate75)
@@ -192,7 +192,7 @@
 	}
 }
 
-// threeDomains is a fleet of three failure domains, whose daemons hold eight workers each.
+// threeDomains is a fleet of three failure domains, whose small daemons hold about eight workers each.
 func threeDomains(perSecond float64) workload {
 	return workload{domains: 3, daemonsPerDomain: 5, workersPerDomain: 39, kinds: largeTasks(perSecond), duration: 16 * time.Second}
 }
--- a/test/policy/shares_test.go
+++ b/test/policy/shares_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// toleratedLoss is how much less of its credit a group within its share may earn beside a burst of
-// another group than alone: callers can't distinguish it from the usual variation between days.
+// toleratedLoss is how much less of its possible credit a group within its share may earn beside a
+// burst of another group than alone: callers can't distinguish it from the usual variation between days.
 const toleratedLoss = 0.03
 
 // shareSeeds is the number of runs of these workloads. It is larger than seeds, as a group has only a
@@ -35,8 +35,8 @@
 
 func inBurst(at time.Duration) bool { return at > 5*time.Second && at < 12*time.Second }
 
-// A burst of one kind of jobs, or of one failure domain's callers, delays the others: together they
-// request more than the capacity, and whoever comes first gets it.
+// A burst of one kind of jobs, or of one failure domain's callers, comes at the others' cost: together
+// they request more than the capacity, and whoever comes first gets it.
 func TestBurstDoesNotHarmOthers(t *testing.T) {
 	t.Parallel()
 	alone := creditByGroup(fourDomains(rate75))
@@ -61,7 +61,7 @@
 		name   string
 		load   workload
 		others []string
-		// least is the least credit of all jobs: shares must not cost more than the burst could earn
+		// least bounds the credit of all jobs together from below: shares must not cost more than the burst could earn
 		// with the capacity of the others.
 		least float64
 	}{
--- a/test/stop/balancer_test.go
+++ b/test/stop/balancer_test.go
@@ -1,3 +1,5 @@
+// The platform's balancer and its callers, for the tests of stops.
+
 package stop
 
 import (
--- a/test/stop/leavingworker_test.go
+++ b/test/stop/leavingworker_test.go
@@ -1,3 +1,5 @@
+// The tests of backend servers that leave.
+
 package stop
 
 import (
--- a/test/stop/owner_test.go
+++ b/test/stop/owner_test.go
@@ -1,3 +1,5 @@
+// The tests of submissions and slots whose owner is gone.
+
 package stop
 
 import (
--- a/test/stop/pause_test.go
+++ b/test/stop/pause_test.go
@@ -1,3 +1,5 @@
+// The test of an entry that is paused.
+
 package stop
 
 import (
--- a/test/stop/stop_test.go
+++ b/test/stop/stop_test.go
@@ -1,3 +1,5 @@
+// The tests of planned stops of entries.
+
 package stop
 
 import (
