--- a/coordinator/shares.go
+++ b/coordinator/shares.go
@@ -32,7 +32,7 @@
 	// as after a loss, would make shares too small for many seconds.
 	minFill = 0.5
 	// queueRetention is how long a queue without new jobs is remembered. It is longer than the time
-	// between bursts, as the usual demand of a service has to be learned anew once its queues are forgotten.
+	// between bursts, because the usual demand of a service has to be measured again once its queues are dropped.
 	queueRetention = 10 * time.Minute
 )
 
--- a/coordinator/takeover.go
+++ b/coordinator/takeover.go
@@ -101,7 +101,7 @@
 	return workers
 }
 
-// dropOldTakeovers drops takeovers that are of no use any more: heartbeats have reported the holders
+// dropOldTakeovers drops takeovers that are no longer needed, because heartbeats have reported the holders
 // of the workers since then.
 func (c *Coordinator) dropOldTakeovers(now time.Duration) {
 	for w, s := range c.latestTakeovers {
--- a/member/leaving.go
+++ b/member/leaving.go
@@ -12,8 +12,8 @@
 	noticeLifetime = 10 * time.Minute
 )
 
-// LeavingWorkers holds the workers that have told this entry or a peer that they are leaving. The VM list
-// shows this later, or not at all while the platform is unreachable.
+// LeavingWorkers holds the workers that have reported to this entry or a peer that they are leaving. The VM
+// list shows this later, or not at all while the platform is unreachable.
 //
 // A notice ends in one of three cases: a newer list no longer shows the worker; the list has shown the
 // worker as leaving and later shows it as not leaving, for example because it was replaced at the same
--- a/submission/table.go
+++ b/submission/table.go
@@ -237,8 +237,8 @@
 	}
 	r := &Record{ID: id, Team: team, Digest: digest, done: make(chan struct{}), response: response, keepUntil: now + keep}
 	// An early cancellation has no request digest. Without this mark, the late request
-	// would be refused as a reuse of the identifier, which contradicts the cancellation
-	// that the caller was told.
+	// would be refused as a reuse of the identifier, although the caller has received
+	// the answer that the submission was canceled.
 	r.canceledEarly = digest == Digest{}
 	close(r.done)
 	s.records[id] = r
--- a/test/chaos/callers_test.go
+++ b/test/chaos/callers_test.go
@@ -1,3 +1,5 @@
+// Callers that send jobs during the faults of a test.
+
 package chaos
 
 import (
--- a/test/chaos/faults_test.go
+++ b/test/chaos/faults_test.go
@@ -1,3 +1,5 @@
+// The injector of random faults.
+
 package chaos
 
 import (
--- a/test/chaos/pairs_test.go
+++ b/test/chaos/pairs_test.go
@@ -1,3 +1,5 @@
+// Tests of two failures at the same time.
+
 package chaos
 
 import (
@@ -70,7 +72,7 @@
 }
 
 // Guards against an outage when the platform hangs and an entry is killed under load. Callers of the entry's
-// submissions are told that the owner is gone. The new process must get its state from a peer and serve, and
+// submissions receive the reason owner_gone. The new process must get its state from a peer and serve, and
 // all other jobs must be served throughout.
 func TestEntryReplacedWhilePlatformHangs(t *testing.T) {
 	t.Parallel()
@@ -125,9 +127,9 @@
 	s.finish()
 }
 
-// Guards against a second start when the owner of a running booking is frozen and the backend server's reply is
-// lost. A caller at another entry is told to retry. After the owner resumes, the caller must receive the one
-// final answer, with the verdict may-have-run, and the booking must not start again.
+// Guards against a second start when the owner of a running booking is frozen and the backend server's reply
+// is lost. A caller at another entry gets a pending reply. After the owner resumes, the caller must receive the
+// one final answer, with the verdict may-have-run, and the booking must not start again.
 func TestOwnerFrozenAndReplyLost(t *testing.T) {
 	t.Parallel()
 	s := startLoaded(t, cluster.Options{Domains: 2, Entries: 1, Workers: 1}, 1)
--- a/test/chaos/partition_test.go
+++ b/test/chaos/partition_test.go
@@ -1,3 +1,5 @@
+// Tests of partitions between entries.
+
 package chaos
 
 import (
@@ -30,7 +32,7 @@
 	return d
 }
 
-// maxPendingDelay is the maximum time until a caller is told to retry, on a busy machine.
+// maxPendingDelay is the maximum time until a pending reply, on a busy machine.
 const maxPendingDelay = time.Second
 
 // detectionLimit is the time within which an entry must detect that a peer is unreachable.
@@ -51,8 +53,8 @@
 	return j
 }
 
-// checkPending sends 20 requests for a submission at the same time. Each caller must be told at once that the
-// owner is unreachable, and when to retry.
+// checkPending sends 20 requests for a submission at the same time. Each must get a pending reply at once,
+// with the reason owner_unreachable and the time to retry.
 func checkPending(t *testing.T, e *cluster.Entry, id string, j schema.Job) {
 	t.Helper()
 	const requests = 20
@@ -80,7 +82,7 @@
 
 // Guards against an outage and repeated starts in a partition. A failure domain is cut off from the other one
 // and from the platform, and one of its entries is killed and restarted meanwhile. Callers on both sides must
-// be served throughout. A caller outside that requests a booking that runs inside is told at once to retry,
+// be served throughout. A caller outside that requests a booking that runs inside gets a pending reply at once,
 // and after healing it must receive the booking's one final answer.
 func TestPartitionedDomainServesItsCallers(t *testing.T) {
 	t.Parallel()
@@ -150,7 +152,7 @@
 }
 
 // Guards against an unclear answer when two entries do not reach each other while both reach a third. A caller
-// at the entry that does not reach the owner must be told at once to retry, and must receive its answer
+// at the entry that does not reach the owner must get a pending reply at once, and must receive its answer
 // through the third entry during the cut.
 func TestCutBetweenTwoEntries(t *testing.T) {
 	t.Parallel()
@@ -175,9 +177,9 @@
 	recorder.Check(t, c.RunRecord())
 }
 
-// Guards against a wrong verdict not-run when an entry's replies to another entry are lost. Requests still pass,
-// so the booking starts at the owner, and the other entry cannot know it. Its caller must be told to retry, and
-// must receive the one final answer when replies pass again.
+// Guards against a wrong verdict not-run when an entry's replies to another entry are lost. Requests still
+// pass, so the booking starts at the owner, and the other entry cannot know it. Its caller must get a pending
+// reply, and must receive the one final answer when replies pass again.
 func TestLostRepliesBetweenEntries(t *testing.T) {
 	t.Parallel()
 	c := cluster.Start(t, cluster.Options{Domains: 2, Entries: 1, Workers: 1})
--- a/test/chaos/platform_test.go
+++ b/test/chaos/platform_test.go
@@ -1,3 +1,5 @@
+// Tests of outages of the platform's service.
+
 package chaos
 
 import (
@@ -84,9 +86,9 @@
 }
 
 // Guards against callers that notice a platform outage. The platform's service returns errors, answers after
-// 10 s, loses its replies or goes silent. Meanwhile an entry is killed and restarted and another entry VM joins.
-// The entries must serve with their configuration, new ones must get it and the list of VMs from their peers,
-// and the entries must divide the slots again.
+// 10 s, loses its replies or goes silent. Meanwhile an entry is killed and restarted, and another entry VM
+// joins. The entries must serve with their configuration, new ones must get it and the list of VMs from their
+// peers, and the entries must divide the slots again.
 func TestEntriesServeDuringPlatformOutage(t *testing.T) {
 	const slots = 2 * 8
 	outages := []struct {
@@ -197,10 +199,10 @@
 	assert.Check(t, goroutines() < start+20*entries, "goroutines: %v, then %v", start, goroutines())
 }
 
-// Guards against a configuration that an entry misses on a silent connection to the platform. The connections of
-// the watches go silent for good while new ones work: packets are lost, or a middle box still acknowledges them.
-// The entries must detect the silence and watch again, so that a configuration written then is in force within
-// seconds. No entry could get it from a peer, because all watches are silent.
+// Guards against a configuration that an entry misses on a silent connection to the platform. The connections
+// of the watches go silent for good while new ones work: packets are lost, or a middlebox still acknowledges
+// them. The entries must detect the silence and watch again, so that a configuration written then is in force
+// within seconds. No entry could get it from a peer, because all watches are silent.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	silences := []struct {
 		name  string
--- a/test/chaos/random_test.go
+++ b/test/chaos/random_test.go
@@ -1,3 +1,5 @@
+// The test under a random schedule of faults.
+
 package chaos
 
 import (
--- a/test/cluster/balancer.go
+++ b/test/cluster/balancer.go
@@ -1,3 +1,5 @@
+// A stand-in for the platform's load balancer.
+
 package cluster
 
 import (
--- a/test/cluster/callrecorder.go
+++ b/test/cluster/callrecorder.go
@@ -1,3 +1,5 @@
+// The record of requests and answers, and its comparison with the runs on the backend servers.
+
 package cluster
 
 import (
--- a/test/cluster/callrecorder_test.go
+++ b/test/cluster/callrecorder_test.go
@@ -1,3 +1,5 @@
+// The test of the comparison that finds violations of the guarantees to callers.
+
 package cluster
 
 import (
--- a/test/cluster/cluster.go
+++ b/test/cluster/cluster.go
@@ -1,3 +1,5 @@
+// The start of a cluster: its options, configuration, entries and platform stand-in.
+
 package cluster
 
 import (
--- a/test/cluster/job.go
+++ b/test/cluster/job.go
@@ -1,3 +1,5 @@
+// Jobs for tests, and the check of a complete answer.
+
 package cluster
 
 import (
--- a/test/cluster/link.go
+++ b/test/cluster/link.go
@@ -1,3 +1,5 @@
+// Links to backend servers and to the platform through toxiproxy.
+
 package cluster
 
 import (
--- a/test/cluster/operator.go
+++ b/test/cluster/operator.go
@@ -1,3 +1,5 @@
+// A client for the operator API.
+
 package cluster
 
 import (
--- a/test/cluster/partition.go
+++ b/test/cluster/partition.go
@@ -1,3 +1,5 @@
+// Partitions between entries, and the choice of entries on one side of them.
+
 package cluster
 
 import "net/netip"
--- a/test/cluster/platform.go
+++ b/test/cluster/platform.go
@@ -1,3 +1,5 @@
+// Reads and changes of the platform stand-in's state.
+
 package cluster
 
 import (
--- a/test/cluster/process.go
+++ b/test/cluster/process.go
@@ -1,3 +1,5 @@
+// The build of the program, and its processes with their signals and logs.
+
 package cluster
 
 import (
--- a/test/cluster/tcpproxy.go
+++ b/test/cluster/tcpproxy.go
@@ -1,3 +1,5 @@
+// A TCP proxy whose existing connections can be silenced.
+
 package cluster
 
 import (
--- a/test/cluster/udpproxy.go
+++ b/test/cluster/udpproxy.go
@@ -1,3 +1,5 @@
+// A UDP proxy for the links between entries.
+
 package cluster
 
 import (
--- a/test/cluster/worker.go
+++ b/test/cluster/worker.go
@@ -1,3 +1,5 @@
+// Backend servers: their start, kill and restart, and the records of their runs.
+
 package cluster
 
 import (
--- a/test/failure/callers_test.go
+++ b/test/failure/callers_test.go
@@ -1,3 +1,5 @@
+// Tests with many callers, callers that reconnect and callers that cancel.
+
 package failure
 
 import (
--- a/test/failure/notrun_test.go
+++ b/test/failure/notrun_test.go
@@ -1,3 +1,5 @@
+// Tests of the verdict not-run: when it is final, and which entry may give it.
+
 package failure
 
 import (
@@ -20,7 +22,7 @@
 	return ids[0]
 }
 
-// Guards against a booking that starts after its caller was told that it did not run. The caller gives
+// Guards against a booking that starts after its caller got the verdict not-run. The caller gives
 // up and cancels; the cancellation arrives before the caller's own delayed PUT and is answered with the
 // verdict not-run. If the PUT started the booking, the caller, who books again, would have two.
 func TestCancelArrivesBeforePut(t *testing.T) {
--- a/test/failure/owner_test.go
+++ b/test/failure/owner_test.go
@@ -1,3 +1,5 @@
+// Tests of owners of submissions that are killed, frozen or unreachable.
+
 package failure
 
 import (
@@ -20,7 +22,7 @@
 // freezeDuration is the duration for which an owner is frozen. The default keeps CI short.
 var freezeDuration = flag.Duration("freeze", 5*time.Second, "time for which an owner is frozen")
 
-// maxUnreachableDelay is the maximum time until a caller is told that the owner is unreachable.
+// maxUnreachableDelay is the maximum time until the reply that the owner is unreachable.
 const maxUnreachableDelay = 6 * time.Second
 
 // jobWithRunTime returns a job whose tasks each run for the given duration.
@@ -86,10 +88,11 @@
 	t.Log(report)
 }
 
-// Guards against starts after the deadline by an owner that was frozen. At the freeze one booking runs,
-// one waits for a slot, and the request for a third is unread in the owner's sockets. Callers at the
-// other entry are told within seconds that the owner is unreachable. When the owner resumes, it must
-// not start the two bookings whose deadlines have passed, and each booking has one final answer.
+// Guards against starts after the deadline by an owner that was frozen. At the freeze one booking runs
+// and one waits for a slot; the request for a third arrives during the freeze and stays unread in the
+// owner's sockets. Callers at the other entry receive the reason owner_unreachable within seconds. When
+// the owner resumes, it must not start the two bookings whose deadlines have passed, and each booking has
+// one final answer.
 func TestOwnerFrozenPastDeadlines(t *testing.T) {
 	c := cluster.Start(t, cluster.Options{Domains: 1, Entries: 2, Workers: 1, Slots: 2})
 	owner, other := c.Entries[0], c.Entries[1]
--- a/test/failure/taskfailure_test.go
+++ b/test/failure/taskfailure_test.go
@@ -1,3 +1,5 @@
+// Tests of tasks that fail after their start, and helpers of this package's tests.
+
 package failure
 
 import (
--- a/test/operate/confirm_test.go
+++ b/test/operate/confirm_test.go
@@ -1,3 +1,5 @@
+// Tests of plans and their confirmations: races, lost replies and platform outages.
+
 package operate
 
 import (
--- a/test/operate/drain_test.go
+++ b/test/operate/drain_test.go
@@ -1,3 +1,5 @@
+// Tests of drained racks and retired failure domains under load.
+
 package operate
 
 import (
--- a/test/operate/hold_test.go
+++ b/test/operate/hold_test.go
@@ -1,3 +1,5 @@
+// The test of a held kind.
+
 package operate
 
 import (
--- a/test/operate/overshoot_test.go
+++ b/test/operate/overshoot_test.go
@@ -1,3 +1,5 @@
+// The test of a team's quota in a partition.
+
 package operate
 
 import (
--- a/test/operate/propagation_test.go
+++ b/test/operate/propagation_test.go
@@ -1,3 +1,5 @@
+// Tests of the propagation of a change to all entries, and of a restored older configuration.
+
 package operate
 
 import (
--- a/test/operate/quota_test.go
+++ b/test/operate/quota_test.go
@@ -1,3 +1,5 @@
+// The test of a team over its quota, and the team's load.
+
 package operate
 
 import (
--- a/test/operate/slow_platform_test.go
+++ b/test/operate/slow_platform_test.go
@@ -1,3 +1,5 @@
+// Tests of confirmations while the platform is slow.
+
 package operate
 
 import (
@@ -13,7 +15,7 @@
 )
 
 // Guards against a confirmation that fails or is applied twice on a slow platform: each call to the
-// platform takes two seconds. The confirmation must be applied once.
+// platform takes two seconds. The confirmation takes a few seconds and must be applied once.
 func TestConfirmWithSlowPlatformIsApplied(t *testing.T) {
 	t.Parallel()
 	c := cluster.Start(t, cluster.Options{Domains: 1, Entries: 1, Workers: 1})
--- a/test/path/badinput_test.go
+++ b/test/path/badinput_test.go
@@ -1,3 +1,5 @@
+// Tests of invalid requests, and of reused, foreign and expired identifiers.
+
 package path
 
 import (
@@ -292,8 +294,8 @@
 }
 
 // Guards against a booking that is made twice after its answer has expired. A caller that lost its answer
-// retries after the identifier's window and the answer's retention are over. The owner has no record of
-// the job any more, so it must start nothing and answer with the verdict may-have-run, not not-run.
+// retries after the identifier's window and the answer's retention are over. The owner no longer has a record
+// of the job, so it must start nothing and answer with the verdict may-have-run, not not-run.
 func TestExpiredIdentifierStartsNothing(t *testing.T) {
 	c := cluster.Start(t, cluster.Options{
 		Domains: 1, Entries: 2, Workers: 1,
--- a/test/path/bench_test.go
+++ b/test/path/bench_test.go
@@ -1,3 +1,5 @@
+// Benchmarks of an entry's processor time and memory per task.
+
 package path
 
 import (
--- a/test/path/large_test.go
+++ b/test/path/large_test.go
@@ -1,3 +1,5 @@
+// Tests of large answers and request bodies.
+
 package path
 
 import (
@@ -22,7 +24,7 @@
 }
 
 // Guards against callers that retry forever because an answer is too large for a message between entries.
-// The caller must be told at once that the answer is too large, at the owner and at the other entry alike.
+// The caller must learn at once that the answer is too large, at the owner and at the other entry alike.
 func TestTooLargeAnswerFails(t *testing.T) {
 	c := cluster.Start(t, cluster.Options{Domains: 1, Entries: 2, Workers: 1})
 	id := reserve(t, c.Entries[0], cluster.Token)
--- a/test/path/security_test.go
+++ b/test/path/security_test.go
@@ -1,3 +1,5 @@
+// Tests of forged identifiers.
+
 package path
 
 import (
@@ -61,7 +63,7 @@
 
 // Guards against an entry that connects to an address chosen by a caller. A caller writes the address into
 // an identifier. The entry may connect only to addresses of known entries: the listeners at the address must
-// receive no packet and no connection, and the caller is told to retry.
+// receive no packet and no connection, and the replies must have a Retry-After header.
 func TestEntryNeverConnectsToCallersAddress(t *testing.T) {
 	c := cluster.Start(t, cluster.Options{Domains: 1, Entries: 1, Workers: 1})
 	e := c.Entries[0]
